--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -144,7 +144,7 @@
 
     pub(crate) fn expire(&mut self, silence: Duration, now: Instant) {
         self.table.expire(silence, now);
-        self.crashes.tidy(now);
+        self.crashes.prune(now);
         self.gateways.retain(|_, gateway| now.duration_since(gateway.heard) < DAEMON_SILENCE);
     }
 
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -241,7 +241,7 @@
                 .progress
                 .map(|at| now.saturating_duration_since(at).as_millis() as u32),
         });
-        let mut held_requests = fleet.crashes().held(now);
+        let mut held_requests = fleet.crashes().quarantined(now);
         held.held_log.note(&held_requests);
         held_requests.extend(fleet.released(now));
         let view = FleetView {
@@ -254,7 +254,7 @@
             loads: loads.collect(),
             held: held_requests,
             leader: Some(core.links().id().clone()),
-            limits: core.limits().told_due(now),
+            limits: core.limits().due_limits(now),
         };
         let mut daemons = fleet.view_gateways();
         daemons.extend(core.links().controllers());
@@ -267,7 +267,7 @@
     let grants = {
         let mut limits = core.limits();
         limits.enter(term);
-        limits.tidy(|worker| fleet.table().get(&WorkerId::from(worker)).is_some());
+        limits.prune(|worker| fleet.table().get(&WorkerId::from(worker)).is_some());
         limits.issue(now)
     };
     send_grants(core, grants);
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -146,7 +146,7 @@
     let answer = {
         let mut limits = core.limits();
         limits.enter(view.term);
-        limits.take_ask(from, ask, now)
+        limits.handle_ask(from, ask, now)
     };
     for (worker, limit) in &answer.changed {
         let milli = limit_text(*limit);
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -85,7 +85,7 @@
         }
     };
     if let Err(AttemptUpstreamError::Refused { .. }) = &outcome {
-        core.picker().note_refusal(&key);
+        core.picker().record_refusal(&key);
     }
     if let Err(error) = &outcome {
         attempt_span.set("error", &error.to_string());
@@ -106,7 +106,7 @@
 impl<'a> PickerTally<'a> {
     fn new(core: &'a DaemonCore, key: &'a UpstreamKey, blocks: &[u64]) -> Self {
         let started = Instant::now();
-        core.picker().note_start(key, blocks, started);
+        core.picker().record_start(key, blocks, started);
         Self { core, key, started, first: std::sync::OnceLock::new(), permit: None }
     }
 
@@ -132,7 +132,7 @@
 impl Drop for PickerTally<'_> {
     fn drop(&mut self) {
         let first = self.first.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
-        self.core.picker().note_end(self.key, first, Instant::now());
+        self.core.picker().record_end(self.key, first, Instant::now());
     }
 }
 
@@ -220,7 +220,7 @@
 fn need_ahead(core: &DaemonCore, candidates: &[RouteCandidate], lacking: &[String], now: Instant) {
     let drawn = rand::random_range(0..candidates.len() + lacking.len());
     if let Some(name) = lacking.get(drawn) {
-        core.limits().note_need_ahead(name, PERMIT_LIFETIME, now);
+        core.limits().record_future_need(name, PERMIT_LIFETIME, now);
     }
 }
 
@@ -235,7 +235,7 @@
     let mut least: Option<Duration> = None;
     candidates.retain(|candidate| {
         let reason = backoffs.reason(&candidate.key.name, now);
-        least = least.into_iter().chain(reason.and_then(BackoffReason::left)).min();
+        least = least.into_iter().chain(reason.and_then(BackoffReason::remaining)).min();
         reason.is_none()
     });
     least
@@ -330,7 +330,7 @@
     match read_backoff(&answer.headers) {
         Ok(backoff) => {
             let backoff = backoff?;
-            core.backoffs().note_asked(&key.name, backoff, Instant::now());
+            core.backoffs().record_backoff(&key.name, backoff, Instant::now());
             let ms = backoff.as_millis();
             log::info!("event=upstream_backoff upstream={} ms={ms}", key.name);
             Some(backoff)
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -9,8 +9,8 @@
 use hollowbarrow_peer::PeerMesh;
 use hollowbarrow_routing::retry::RetryBudget;
 use hollowbarrow_routing::{
-    AdmissionQueue, BackoffTable, CopyGate, CrashWatch, CurrencyFacts, HoldState, LimitCoordinator,
-    OrganisationLimiter, RoutePicker, UpstreamLimits, trial_hold,
+    AdmissionQueue, BackoffTable, ConfigFreshness, CrashTracker, DuplicateGate, LimitCoordinator,
+    OrganisationLimiter, QuarantineState, RoutePicker, UpstreamLimits, probe_delay,
 };
 use hollowbarrow_schema::{DaemonId, PeerMessage, RequestDigest, Settings, ZoneId};
 use hollowbarrow_state::{ClaimState, ConfigState};
@@ -46,7 +46,7 @@
     pub(crate) admission: AdmissionQueue,
     pub(crate) limiter: OrganisationLimiter,
     pub(crate) budget: RetryBudget,
-    pub(crate) crashes: Mutex<CrashWatch>,
+    pub(crate) crashes: Mutex<CrashTracker>,
     /// Upstreams that want no requests, by the name of the node or endpoint.
     pub(crate) backoffs: Mutex<BackoffTable<String>>,
     /// Upstreams that take only so many requests a second, by name and epoch.
@@ -58,7 +58,7 @@
     /// Told when the issuer of permits has answered.
     pub(crate) permits_came: Notify,
     /// Copies of requests that nobody has seen answered.
-    pub(crate) copies: CopyGate,
+    pub(crate) copies: DuplicateGate,
     pub(crate) client: UpstreamClient,
     pub(crate) engine: HttpEngine,
     pub(crate) telemetry: Telemetry,
@@ -102,28 +102,28 @@
     }
 
     /// Requests under which upstreams end.
-    pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashWatch> {
+    pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         self.crashes.lock().expect("no holder of the lock panics")
     }
 
     /// For how long a request is to be sent to no upstream; none where it may be.
     pub(crate) fn hold_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
-        let over = match self.crashes().hold_state(request, now)? {
-            HoldState::Held(left) => return Some(left),
-            HoldState::Over(over) => over,
+        let over = match self.crashes().quarantine_state(request, now)? {
+            QuarantineState::Active(left) => return Some(left),
+            QuarantineState::Expired(over) => over,
         };
         let own = xxh3_64(self.id().as_bytes());
         let window = now.saturating_duration_since(self.started).as_secs();
-        trial_hold(own, request, window, self.daemons(), over)
+        probe_delay(own, request, window, self.daemons(), over)
     }
 
     /// Whether the configuration here holds all that has to be in force.
     pub(crate) fn is_config_current(&self, now: Instant) -> bool {
         let view = self.config_log.view();
-        let facts = CurrencyFacts {
+        let facts = ConfigFreshness {
             version: *view.applied,
             known: *view.applied,
-            word_age: view.complete.map(|at| now.saturating_duration_since(at)),
+            confirmation_age: view.complete.map(|at| now.saturating_duration_since(at)),
         };
         let trust = WORD_ELECTIONS * self.settings.timing.election_ms;
         facts.is_current(Duration::from_millis(trust))
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -11,7 +11,7 @@
 use hollowbarrow_peer::{MeshConfig, PeerMesh, StartMeshError};
 use hollowbarrow_routing::retry::RetryBudget;
 use hollowbarrow_routing::{
-    AdmissionQueue, BackoffTable, CopyGate, CrashWatch, OrganisationLimiter, QueueLimits,
+    AdmissionQueue, BackoffTable, CrashTracker, DuplicateGate, OrganisationLimiter, QueueLimits,
     RoutePicker, UpstreamLimits,
 };
 use hollowbarrow_schema::{
@@ -265,7 +265,7 @@
         path: settings.trace_file.clone().unwrap_or_default(),
         source,
     })?;
-    let limits = QueueLimits { places: settings.limits.streams, waiting: settings.limits.queue };
+    let limits = QueueLimits { slots: settings.limits.streams, waiting: settings.limits.queue };
     Ok(DaemonCore {
         config_log,
         claims_log,
@@ -278,13 +278,13 @@
         admission: AdmissionQueue::new(limits),
         limiter,
         budget: RetryBudget::new(now),
-        crashes: Mutex::new(CrashWatch::new()),
+        crashes: Mutex::new(CrashTracker::new()),
         backoffs: Mutex::new(BackoffTable::new()),
         limits: Mutex::new(UpstreamLimits::new(rand::random())),
         limit_coordinator: Mutex::default(),
         permits_wanted: Notify::new(),
         permits_came: Notify::new(),
-        copies: CopyGate::new(),
+        copies: DuplicateGate::new(),
         client: UpstreamClient::new(),
         engine: HttpEngine::new(),
         telemetry,
@@ -435,8 +435,8 @@
         let routes = core.routes();
         if let Some(oldest) = Instant::now().checked_sub(core.lease() * 2) {
             core.picker().prune(oldest, |key| routes.contains(key));
-            core.backoffs().tidy(|name| routes.names(name), Instant::now());
-            core.limits().tidy(|name| routes.limit_names().any(|known| known == name));
+            core.backoffs().prune(|name| routes.names(name), Instant::now());
+            core.limits().prune(|name| routes.limit_names().any(|known| known == name));
         }
     }
 }
--- a/crates/daemon/src/digest.rs
+++ b/crates/daemon/src/digest.rs
@@ -232,7 +232,7 @@
     let Some(peer) = core.settings.peers.iter().find(|peer| peer.id == *from) else { return };
     core.crashes().merge(&digest.crashes, now);
     let speaker = if digest.speaks_for > 1 { peer.zone.as_str() } else { from.as_str() };
-    core.limiter.observe_demand(speaker, &peer.zone, digest.speaks_for, &digest.use_, now);
+    core.limiter.record_demand(speaker, &peer.zone, digest.speaks_for, &digest.use_, now);
     // An echo from the future can only be a fault, and must not lengthen a lease.
     let base = digest.echo.map(|echo| (core.started + Duration::from_millis(echo)).min(now));
     if let Some(table) = &digest.table
--- a/crates/daemon/src/dispatch.rs
+++ b/crates/daemon/src/dispatch.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use hollowbarrow_routing::retry::{AttemptUpstreamError, RequestFacts, RetryStep, decide_retry};
-use hollowbarrow_routing::{CopyTicket, EndedRun, RequestContent, UpstreamKey, hash_prefix};
+use hollowbarrow_routing::{
+    DuplicateTicket, RequestContent, TerminatedRun, UpstreamKey, hash_prefix,
+};
 use hollowbarrow_schema::{ClaimOutcome, ErrorRan, RequestDigest, StoredAnswer};
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
@@ -31,7 +33,7 @@
 /// Whether a copy of a request may go.
 enum CopyEntry {
     /// It may.
-    Entered(CopyTicket),
+    Entered(DuplicateTicket),
     /// Nothing came of another copy for too long.
     WaitedTooLong,
     /// Its caller has gone away meanwhile.
@@ -192,9 +194,9 @@
     async fn run_attempts(
         &mut self,
         claim: Option<HeldClaim>,
-        copy: &Arc<CopyTicket>,
+        copy: &Arc<DuplicateTicket>,
     ) -> RequestEnd {
-        self.core.budget.note_request();
+        self.core.budget.record_request();
         let streamed = matches!(self.request.kind, RequestKind::Completion { stream: true, .. });
         let mut relay = StreamRelay::new(&self.link, claim.is_some()).with_copy(copy);
         loop {
@@ -268,16 +270,16 @@
         &self,
         error: &AttemptUpstreamError,
         sent: Instant,
-        copy: &CopyTicket,
+        copy: &DuplicateTicket,
     ) -> Option<Instant> {
         let (AttemptUpstreamError::ConnectionLost { .. }, Some(key)) = (error, &self.upstream)
         else {
             return None;
         };
         let upstream = xxh3_64(format!("{}/{}", key.name, *key.epoch).as_bytes());
-        let run = EndedRun { upstream, sent, ended: Instant::now() };
-        self.core.crashes().note_run(self.digest, run);
-        copy.note_ended()
+        let run = TerminatedRun { upstream, sent, ended: Instant::now() };
+        self.core.crashes().record_run(self.digest, run);
+        copy.record_crash()
     }
 
     async fn settle_failed_claim(&self, claim: Option<HeldClaim>, ran: ErrorRan) {
@@ -296,7 +298,7 @@
         relay: &mut StreamRelay,
         claim: Option<HeldClaim>,
     ) -> RequestEnd {
-        self.core.crashes().note_answer(self.digest, Instant::now());
+        self.core.crashes().record_answer(self.digest, Instant::now());
         match answer {
             Attempted::Streamed => {
                 if let Some(held) = claim {
@@ -326,8 +328,8 @@
     }
 
     /// Asks a second upstream when the first is slow, and takes the first whole answer.
-    async fn run_hedged(&mut self, after: Duration, copy: &Arc<CopyTicket>) -> RequestEnd {
-        self.core.budget.note_request();
+    async fn run_hedged(&mut self, after: Duration, copy: &Arc<DuplicateTicket>) -> RequestEnd {
+        self.core.budget.record_request();
         self.attempts = 1;
         let core = Arc::clone(&self.core);
         let sent = Instant::now();
--- a/crates/daemon/src/permits.rs
+++ b/crates/daemon/src/permits.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use hollowbarrow_routing::{
-    LimitWord, PERMIT_INTERVAL, PERMIT_PATIENCE, PERMIT_POLL, Permit, UpstreamKey, WordSpan,
-    limit_text,
+    LimitNotice, NoticeInterval, PERMIT_INTERVAL, PERMIT_POLL_INTERVAL, PERMIT_WAIT_TIMEOUT,
+    Permit, UpstreamKey, limit_text,
 };
 use hollowbarrow_schema::{DaemonId, FleetMessage, PeerMessage, PermitAsk, PermitGrant, Term};
 use hollowbarrow_upstream::read_limit;
@@ -79,11 +79,11 @@
     pub(crate) async fn wait_for_any(&mut self, upstreams: &[String]) -> Result<(), Duration> {
         let now = Instant::now();
         let came = self.core.permits_came.notified();
-        let limit = self.limit.unwrap_or(now + PERMIT_PATIENCE);
+        let limit = self.limit.unwrap_or(now + PERMIT_WAIT_TIMEOUT);
         let left = limit.saturating_duration_since(now);
         {
             let mut limits = self.core.limits();
-            let may_come = limits.note_need_of_any(upstreams, left, self.limit.is_some(), now);
+            let may_come = limits.record_need_of_any(upstreams, left, self.limit.is_some(), now);
             if left.is_zero() || !may_come {
                 return Err(limits.wait(upstreams, now));
             }
@@ -93,7 +93,7 @@
         }
         self.limit = Some(limit);
         self.core.permits_wanted.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL), came).await;
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), came).await;
         Ok(())
     }
 }
@@ -115,8 +115,8 @@
             return;
         }
     };
-    let word = LimitWord { limit, span: WordSpan { sent, came: Instant::now() } };
-    if core.limits().note(&limit_name(key), word) {
+    let word = LimitNotice { limit, span: NoticeInterval { sent, came: Instant::now() } };
+    if core.limits().record_notice(&limit_name(key), word) {
         let milli = limit_text(limit);
         log::info!("event=upstream_limit upstream={} milli_per_s={milli}", key.name);
     }
@@ -163,7 +163,7 @@
     let answer = {
         let mut coordinator = core.limit_coordinator();
         coordinator.enter(term);
-        coordinator.take_ask(from, ask, now)
+        coordinator.handle_ask(from, ask, now)
     };
     send_grants(core, answer.grants);
 }
@@ -180,6 +180,6 @@
 
 /// Takes in the permits that were issued.
 pub(crate) fn take_grant(core: &DaemonCore, grant: &PermitGrant) {
-    core.limits().take_grant(grant, Instant::now());
+    core.limits().record_grant(grant, Instant::now());
     core.permits_came.notify_waiters();
 }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollowbarrow_routing::CopyTicket;
+use hollowbarrow_routing::DuplicateTicket;
 use hollowbarrow_routing::retry::AttemptUpstreamError;
 use hollowbarrow_upstream::{EventParser, SentAnswer, StreamChunk, parse_chunk};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -34,7 +34,7 @@
     record: Option<String>,
     last_token: Option<Instant>,
     /// The copy of the request whose first token is awaited.
-    awaited: Option<Arc<CopyTicket>>,
+    awaited: Option<Arc<DuplicateTicket>>,
 }
 
 impl StreamRelay {
@@ -52,7 +52,7 @@
     }
 
     /// Lets other copies of the request go with its first token.
-    pub(crate) fn with_copy(mut self, copy: &Arc<CopyTicket>) -> Self {
+    pub(crate) fn with_copy(mut self, copy: &Arc<DuplicateTicket>) -> Self {
         self.awaited = Some(Arc::clone(copy));
         self
     }
@@ -158,7 +158,7 @@
             None => core.telemetry.note_first_token(request.received, now),
         }
         if let Some(copy) = self.awaited.take() {
-            copy.note_progress();
+            copy.record_progress();
         }
     }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -7,7 +7,9 @@
 use hollowbarrow_fleet::{RouteTable, Service, VersionTimes};
 use hollowbarrow_member::WakeWatch;
 use hollowbarrow_routing::retry::{AttemptUpstreamError, RetryBudget};
-use hollowbarrow_routing::{CopyGate, CurrencyFacts, LimitWord, WordSpan, limit_text};
+use hollowbarrow_routing::{
+    ConfigFreshness, DuplicateGate, LimitNotice, NoticeInterval, limit_text,
+};
 use hollowbarrow_schema::{DaemonId, FleetView, MemberSettings, WorkerId};
 use hollowbarrow_upstream::{UpstreamClient, UpstreamWord};
 use tokio::sync::Notify;
@@ -41,7 +43,7 @@
     home: Mutex<HomeChoice>,
     crashes: Mutex<CrashGuard>,
     /// Copies of requests that nobody has seen answered.
-    pub(crate) copies: CopyGate,
+    pub(crate) copies: DuplicateGate,
     /// Versions of the configuration that the leader has told of.
     known: Mutex<VersionTimes>,
     /// Told when a request waits for a permit.
@@ -68,7 +70,7 @@
             routes: RwLock::new(None),
             picker: Mutex::new(WorkerPicker::new(&settings.zone).with_preferences(&own)),
             crashes: Mutex::new(CrashGuard::new().with_identity(&own)),
-            copies: CopyGate::new(),
+            copies: DuplicateGate::new(),
             home: Mutex::new(HomeChoice::new(&own, &settings.zone)),
             known: Mutex::default(),
             permits_wanted: Notify::new(),
@@ -112,12 +114,12 @@
     }
 
     /// What this gateway knows of how old its configuration is.
-    pub(crate) fn currency(&self, now: Instant) -> CurrencyFacts {
+    pub(crate) fn currency(&self, now: Instant) -> ConfigFreshness {
         let last_view = *self.last_view.lock().expect("no holder of the lock panics");
-        CurrencyFacts {
+        ConfigFreshness {
             version: self.version(),
             known: self.known().newest(),
-            word_age: last_view.map(|at| now.saturating_duration_since(at)),
+            confirmation_age: last_view.map(|at| now.saturating_duration_since(at)),
         }
     }
 
@@ -242,12 +244,12 @@
         }
         // Whoever misdirects has the address of the worker and is another one.
         if !facts.misdirected {
-            self.note_limit(worker, word, WordSpan { sent, came: Instant::now() });
+            self.note_limit(worker, word, NoticeInterval { sent, came: Instant::now() });
         }
     }
 
     /// Notes how many requests a worker says that it takes.
-    fn note_limit(&self, worker: &WorkerId, word: &UpstreamWord, span: WordSpan) {
+    fn note_limit(&self, worker: &WorkerId, word: &UpstreamWord, span: NoticeInterval) {
         let limit = match word.limit {
             Ok(limit) => limit,
             Err(error) => {
@@ -255,7 +257,7 @@
                 return;
             }
         };
-        if self.picker().note_limit(worker, LimitWord { limit, span }) {
+        if self.picker().note_limit(worker, LimitNotice { limit, span }) {
             let milli = limit_text(limit);
             log::info!("event=worker_limit worker={} milli_per_s={milli}", **worker);
         }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use hollowbarrow_routing::{CrashWatch, EndedRun, trial_hold};
+use hollowbarrow_routing::{CrashTracker, TerminatedRun, probe_delay};
 use hollowbarrow_schema::{
     CrashRecord, DaemonId, FleetView, HeldRequest, RequestDigest, Term, WorkerId,
 };
@@ -56,7 +56,7 @@
     own: u64,
     /// Gateways that there are, as last told.
     gateways: u32,
-    watch: CrashWatch,
+    watch: CrashTracker,
     told: HashMap<RequestDigest, ToldHold>,
     /// Rank of the view by which the leader last told, and when that came.
     rank: (Term, u64),
@@ -91,7 +91,7 @@
         }
         let over = now.saturating_duration_since(hold.over_since?);
         let window = self.rank.1 / VIEWS_OF_WINDOW;
-        trial_hold(self.own, request, window, self.gateways, over)
+        probe_delay(self.own, request, window, self.gateways, over)
     }
 
     /// For how long a request is held by what was seen here alone.
@@ -100,7 +100,7 @@
         let silent = self.viewed.is_none_or(|at| !within(at, LEADER_SILENCE));
         let fresh = self.own_runs.get(&request).is_some_and(|at| within(*at, OWN_VERDICT_TIME));
         let counts = silent || fresh;
-        self.watch.hold_left(request, now).filter(|_| counts)
+        self.watch.quarantine_left(request, now).filter(|_| counts)
     }
 
     /// Notes that a worker ended while it ran a request that was sent to it at this time.
@@ -112,8 +112,8 @@
         now: Instant,
     ) {
         let upstream = xxh3_64(worker.as_bytes());
-        self.watch.note_run(request, EndedRun { upstream, sent, ended: now });
-        if self.watch.hold_left(request, now).is_some() {
+        self.watch.record_run(request, TerminatedRun { upstream, sent, ended: now });
+        if self.watch.quarantine_left(request, now).is_some() {
             self.own_runs.insert(request, now);
         }
         if let Some(hold) = self.told.get_mut(&request) {
@@ -124,7 +124,7 @@
 
     /// Notes that a request was answered whole.
     pub fn note_answer(&mut self, request: RequestDigest, now: Instant) {
-        self.watch.note_answer(request, now);
+        self.watch.record_answer(request, now);
     }
 
     /// Whether such a request was answered here lately.
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -114,7 +114,7 @@
         refusal.name(),
         facts.version,
         facts.known,
-        facts.word_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
+        facts.confirmation_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
     );
     // Callers do not ask again after a 404 or a 401, so these need a configuration that is known to
     // be the newest.
--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -25,11 +25,11 @@
     for _ in 0..gateways {
         let budget = RetryBudget::with_limits(share_of(&allowance, gateways), start);
         for _ in 0..10_000 {
-            budget.note_request();
+            budget.record_request();
         }
         let count = (each_per_s * f64::from(WINDOW_S)).round() as u32;
         for number in 0..count {
-            budget.note_request();
+            budget.record_request();
             let at = Duration::from_secs_f64(f64::from(number) / each_per_s);
             sent_again += u32::from(budget.take(start + at));
         }
--- a/crates/gateway/tests/picker.rs
+++ b/crates/gateway/tests/picker.rs
@@ -9,7 +9,7 @@
 use hollowbarrow_gateway::picker::{
     LimitedWait, NoWorker, PermitPatience, PickFacts, WorkerPicker,
 };
-use hollowbarrow_routing::{LimitWord, WordSpan};
+use hollowbarrow_routing::{LimitNotice, NoticeInterval};
 use hollowbarrow_schema::{
     DaemonId, DomainId, Epoch, FleetView, MembershipState, ModelName, PermitGrant, PermitTerms,
     RequestRate, ServiceName, Term, UpstreamLimit, WorkerId, WorkerLoad, WorkerMembership,
@@ -477,9 +477,9 @@
 
 /// Has a worker name a limit in an answer to a request that was sent a moment ago.
 fn name_limit(picker: &mut WorkerPicker, id: &str, milli: u64, now: Instant) {
-    let span = WordSpan { sent: now, came: now };
+    let span = NoticeInterval { sent: now, came: now };
     let limit = Some(RequestRate(milli));
-    assert!(picker.note_limit(&WorkerId::from(id), LimitWord { limit, span }));
+    assert!(picker.note_limit(&WorkerId::from(id), LimitNotice { limit, span }));
 }
 
 fn issue(picker: &mut WorkerPicker, id: &str, issued: u32, wait_ms: Option<u32>, now: Instant) {
--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -162,7 +162,7 @@
             })
             .collect();
         for candidate in &candidates {
-            picker.note_start(&candidate.key, &[], now);
+            picker.record_start(&candidate.key, &[], now);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
         Ok(time_us(2000, || {
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -6,7 +6,7 @@
 use clap::{ArgMatches, Command};
 use hollowbarrow_fleet::{Engine, ModelSpec, Service};
 use hollowbarrow_gateway::picker::{PermitPatience, PickFacts, WorkerPicker};
-use hollowbarrow_routing::{BackoffTable, CopyLimiter, CrashLedger, EndedRun};
+use hollowbarrow_routing::{BackoffTable, CrashLedger, DuplicateLimiter, TerminatedRun};
 use hollowbarrow_schema::{
     CrashRecord, CrashedRun, DomainId, Epoch, FleetView, HeldRequest, Incarnation, MembershipState,
     ModelName, PermitAsk, PermitGrant, PermitNeed, PermitTerms, RequestDigest, RequestRate,
@@ -91,16 +91,16 @@
     let mut table = BackoffTable::new();
     for number in 0..WORKERS * MEMORY_SCALE {
         let worker = WorkerId::of_life(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
-        table.note_asked(&worker, Duration::from_secs(3), Instant::now());
+        table.record_backoff(&worker, Duration::from_secs(3), Instant::now());
     }
     kept.push(table);
     Ok(resident_kb()?.saturating_sub(before) / MEMORY_SCALE)
 }
 
 /// Memory of the limiter of a daemon with this many different requests under way.
-fn copies_kb(kept: &mut Vec<CopyLimiter>) -> anyhow::Result<u64> {
+fn copies_kb(kept: &mut Vec<DuplicateLimiter>) -> anyhow::Result<u64> {
     let before = resident_kb()?;
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     for number in 0..REQUESTS * MEMORY_SCALE {
         limiter.begin(RequestDigest(number), false, Instant::now());
     }
@@ -114,13 +114,13 @@
     let mut ledger = CrashLedger::new();
     for number in 0..ENDS {
         let ended = start + Duration::from_millis(number);
-        let run = EndedRun { upstream: number, sent: start, ended };
+        let run = TerminatedRun { upstream: number, sent: start, ended };
         let request = if number < RUNS { 0 } else { number };
-        ledger.note_run(RequestDigest(request), run);
+        ledger.record_run(RequestDigest(request), run);
     }
     let begun = WallInstant::now();
     for _ in 0..PICKS {
-        std::hint::black_box(ledger.hold_left(RequestDigest(0), start));
+        std::hint::black_box(ledger.quarantine_left(RequestDigest(0), start));
     }
     begun.elapsed().as_secs_f64() * 1e6 / f64::from(PICKS)
 }
--- a/crates/routing/src/adaptive.rs
+++ b/crates/routing/src/adaptive.rs
@@ -30,7 +30,7 @@
     }
 
     /// Notes an answer and how long its first byte took, with the requests then in flight.
-    pub fn note_answer(&mut self, first_ms: f64, in_flight: u32) {
+    pub fn record_answer(&mut self, first_ms: f64, in_flight: u32) {
         let usual = self.usual_ms.get_or_insert(first_ms);
         let slow = first_ms > *usual * SLOW_FACTOR;
         *usual += (first_ms - *usual) * SMOOTHING;
@@ -43,7 +43,7 @@
     }
 
     /// Notes that the upstream refused a request for lack of room.
-    pub fn note_refusal(&mut self) {
+    pub fn record_refusal(&mut self) {
         self.decrease();
     }
 
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
     /// Requests in flight at once.
-    pub places: u32,
+    pub slots: u32,
     /// Requests that may wait in each class.
     pub waiting: u32,
 }
@@ -115,7 +115,7 @@
 
     /// Places that a class may fill.
     fn places_for(&self, class: Urgency) -> u32 {
-        let places = f64::from(self.limits.places);
+        let places = f64::from(self.limits.slots);
         let kept = match class {
             Urgency::Urgent => 0.0,
             Urgency::Normal => URGENT_RESERVE,
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -34,7 +34,7 @@
     /// Whether what came of the last send is not noted yet.
     pending: bool,
     /// Whether the next attempt was taken from the budget already.
-    paid: bool,
+    budgeted: bool,
 }
 
 impl AttemptLedger {
@@ -49,13 +49,13 @@
     }
 
     /// Notes that the request goes to a worker.
-    pub fn note_send(&mut self) {
+    pub fn record_send(&mut self) {
         self.sends += 1;
         self.pending = true;
     }
 
     /// Notes what came of a send: each is noted once, when its answer begins or it has failed.
-    pub fn note_outcome(&mut self, ran: ErrorRan) {
+    pub fn record_outcome(&mut self, ran: ErrorRan) {
         self.pending = false;
         if ran != ErrorRan::NotRun {
             self.runs += 1;
@@ -64,8 +64,8 @@
 
     /// Notes that another attempt was taken from the budget before the one under way is given up:
     /// to give up what cannot be tried again would only lose it.
-    pub fn note_paid(&mut self) {
-        self.paid = true;
+    pub fn record_budgeted(&mut self) {
+        self.budgeted = true;
     }
 
     /// Whether any worker may have run the request.
@@ -100,6 +100,6 @@
                 | AttemptUpstreamError::NotSent
                 | AttemptUpstreamError::BackedOff
         );
-        !arrived || std::mem::take(&mut self.paid) || budget.take(now)
+        !arrived || std::mem::take(&mut self.budgeted) || budget.take(now)
     }
 }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -25,16 +25,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackoffReason {
     /// It asked for that, for this time from now on.
-    Asked(Duration),
+    Requested(Duration),
     /// It is about to end.
     Leaving,
 }
 
 impl BackoffReason {
     /// After what time it wants requests again; none where it never will.
-    pub fn left(self) -> Option<Duration> {
+    pub fn remaining(self) -> Option<Duration> {
         match self {
-            Self::Asked(left) => Some(left),
+            Self::Requested(left) => Some(left),
             Self::Leaving => None,
         }
     }
@@ -53,7 +53,7 @@
             return Some(BackoffReason::Leaving);
         }
         let left = self.until?.saturating_duration_since(now);
-        (!left.is_zero()).then_some(BackoffReason::Asked(left))
+        (!left.is_zero()).then_some(BackoffReason::Requested(left))
     }
 }
 
@@ -76,14 +76,14 @@
     }
 
     /// Notes that an upstream asked for no requests for some time from now on.
-    pub fn note_asked(&mut self, upstream: &K, backoff: Duration, now: Instant) {
+    pub fn record_backoff(&mut self, upstream: &K, backoff: Duration, now: Instant) {
         let until = now + backoff.min(LONGEST_BACKOFF);
         let entry = self.entries.entry(upstream.clone()).or_default();
         entry.until = entry.until.max(Some(until));
     }
 
     /// Notes that an upstream is about to end; false where that is known.
-    pub fn note_leaving(&mut self, upstream: &K) -> bool {
+    pub fn record_leaving(&mut self, upstream: &K) -> bool {
         let entry = self.entries.entry(upstream.clone()).or_default();
         !std::mem::replace(&mut entry.leaving, true)
     }
@@ -94,7 +94,7 @@
     }
 
     /// Forgets what is over, and upstreams that are not known any more.
-    pub fn tidy(&mut self, known: impl Fn(&K) -> bool, now: Instant) {
+    pub fn prune(&mut self, known: impl Fn(&K) -> bool, now: Instant) {
         self.entries.retain(|upstream, entry| entry.reason(now).is_some() && known(upstream));
     }
 
--- a/crates/routing/src/burst.rs
+++ b/crates/routing/src/burst.rs
@@ -17,7 +17,7 @@
 
 use tokio::time::Instant;
 
-use crate::crashes::EndedRun;
+use crate::crashes::TerminatedRun;
 
 /// Upstreams that end under a request within one moment, from which on it is suspected. Two are
 /// often lost together, by chance or with their rack.
@@ -45,7 +45,7 @@
 
 impl UpstreamEnds {
     /// Notes an end; the earliest time that was told counts.
-    pub(crate) fn note(&mut self, upstream: u64, ended: Instant) {
+    pub(crate) fn record(&mut self, upstream: u64, ended: Instant) {
         let at = self.at.entry(upstream).or_insert(ended);
         *at = ended.min(*at);
         if self.at.len() > MOST_ENDS {
@@ -60,25 +60,25 @@
     }
 
     /// Forgets what does not count any more.
-    pub(crate) fn tidy(&mut self, recent: impl Fn(Instant) -> bool) {
+    pub(crate) fn prune(&mut self, recent: impl Fn(Instant) -> bool) {
         self.at.retain(|_, at| recent(*at));
     }
 }
 
 /// When the first burst of a request was over, if it came in one; each run is at another upstream.
-pub(crate) fn find_burst(runs: &[EndedRun], ends: &UpstreamEnds) -> Option<Instant> {
+pub(crate) fn find_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> Option<Instant> {
     let moments = runs.iter().map(|run| runs_beside(runs, run.ended));
     let bursts = moments.filter(|moment| is_burst(moment, ends));
     bursts.filter_map(|burst| burst.iter().map(|run| run.ended).max()).min()
 }
 
 /// Runs that ended at about this time.
-fn runs_beside(runs: &[EndedRun], at: Instant) -> Vec<EndedRun> {
-    let apart = |run: &EndedRun| run.ended.max(at) - run.ended.min(at);
+fn runs_beside(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
+    let apart = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
     runs.iter().filter(|run| apart(run) <= MOMENT).copied().collect()
 }
 
-fn is_burst(runs: &[EndedRun], ends: &UpstreamEnds) -> bool {
+fn is_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> bool {
     let ended = runs.iter().map(|run| run.ended);
     let Some((first, last)) = ended.clone().min().zip(ended.max()) else { return false };
     let covered = runs.len() as f64 >= ends.count(first, last) as f64 * LEAST_COVERED;
@@ -87,7 +87,7 @@
 
 /// Whether runs ended together although they were sent apart, as what a loss breaks off. Under a
 /// request that ends upstreams they end as far apart as they were sent, or further.
-fn is_common_end(runs: &[EndedRun]) -> bool {
+fn is_common_end(runs: &[TerminatedRun]) -> bool {
     let ends = runs.iter().map(|run| run.ended);
     let lengths = runs.iter().map(|run| run.ended.saturating_duration_since(run.sent));
     let ends_apart = ends.clone().max().zip(ends.min()).map(|(last, first)| last - first);
--- a/crates/routing/src/currency.rs
+++ b/crates/routing/src/config_freshness.rs
@@ -8,20 +8,20 @@
 
 /// What a daemon knows of how old its configuration is.
 #[derive(Clone, Copy, Debug)]
-pub struct CurrencyFacts {
+pub struct ConfigFreshness {
     /// Version in force here; 0 means none.
     pub version: u64,
     /// Newest version that a leader has told of; 0 means none.
     pub known: u64,
     /// Time since a leader last told what is newest; none if none has.
-    pub word_age: Option<Duration>,
+    pub confirmation_age: Option<Duration>,
 }
 
-impl CurrencyFacts {
+impl ConfigFreshness {
     /// Whether what this configuration does not have is in none that has to be in force, where the
     /// leader's word holds for so long.
     pub fn is_current(&self, trust: Duration) -> bool {
-        let recent = self.word_age.is_some_and(|age| age <= trust);
+        let recent = self.confirmation_age.is_some_and(|age| age <= trust);
         recent && self.version >= self.known
     }
 }
--- a/crates/routing/src/copies.rs
+++ b/crates/routing/src/copies.rs
@@ -28,7 +28,7 @@
 
 /// Whether a copy may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyStep {
+pub enum DuplicateStep {
     /// It may.
     Go,
     /// Not before another one has shown progress or ended, or before this moment.
@@ -53,39 +53,39 @@
 
 /// Copies under way, by request.
 #[derive(Clone, Debug, Default)]
-pub struct CopyLimiter {
+pub struct DuplicateLimiter {
     entries: HashMap<RequestDigest, CopyEntry>,
     /// Entries that are kept for a pause, in the order in which these end.
     paused: VecDeque<(Instant, RequestDigest)>,
 }
 
-impl CopyLimiter {
+impl DuplicateLimiter {
     /// Creates a limiter that knows of no copy.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Has a copy go if it may; `answered` says that such a request was answered before.
-    pub fn begin(&mut self, request: RequestDigest, answered: bool, now: Instant) -> CopyStep {
-        self.tidy(now);
+    pub fn begin(&mut self, request: RequestDigest, answered: bool, now: Instant) -> DuplicateStep {
+        self.prune(now);
         let entry = self.entries.entry(request).or_default();
         entry.proven |= answered;
         if !entry.proven {
             if let Some(until) = entry.pause(now) {
                 entry.has_others = true;
-                return CopyStep::Wait(Some(until));
+                return DuplicateStep::Wait(Some(until));
             }
             if entry.under_way > 0 {
                 entry.has_others = true;
-                return CopyStep::Wait(None);
+                return DuplicateStep::Wait(None);
             }
         }
         entry.under_way += 1;
-        CopyStep::Go
+        DuplicateStep::Go
     }
 
     /// Notes that something of an answer came.
-    pub fn note_progress(&mut self, request: RequestDigest) {
+    pub fn record_progress(&mut self, request: RequestDigest) {
         if let Some(entry) = self.entries.get_mut(&request) {
             entry.proven = true;
         }
@@ -93,7 +93,7 @@
 
     /// Notes that an upstream ended under a copy; until when it is not repeated, where there are
     /// others.
-    pub fn note_ended(&mut self, request: RequestDigest, now: Instant) -> Option<Instant> {
+    pub fn record_crash(&mut self, request: RequestDigest, now: Instant) -> Option<Instant> {
         let entry = self.entries.get_mut(&request)?;
         if entry.proven || !entry.has_others {
             return None;
@@ -124,7 +124,7 @@
         self.entries.is_empty()
     }
 
-    fn tidy(&mut self, now: Instant) {
+    fn prune(&mut self, now: Instant) {
         while let Some((until, request)) = self.paused.front().copied() {
             if now < until {
                 return;
@@ -140,30 +140,30 @@
 
 #[derive(Debug, Default)]
 struct GateState {
-    limiter: Mutex<CopyLimiter>,
+    limiter: Mutex<DuplicateLimiter>,
     changed: Notify,
 }
 
 impl GateState {
-    fn limiter(&self) -> MutexGuard<'_, CopyLimiter> {
+    fn limiter(&self) -> MutexGuard<'_, DuplicateLimiter> {
         self.limiter.lock().expect("no holder of the lock panics")
     }
 }
 
 /// Lets copies of a request through as the limiter says.
 #[derive(Clone, Debug, Default)]
-pub struct CopyGate {
+pub struct DuplicateGate {
     state: Arc<GateState>,
 }
 
 /// A copy under way; dropping it lets another one go.
 #[derive(Debug)]
-pub struct CopyTicket {
+pub struct DuplicateTicket {
     state: Arc<GateState>,
     request: RequestDigest,
 }
 
-impl CopyGate {
+impl DuplicateGate {
     /// Creates a gate without copies.
     pub fn new() -> Self {
         Self::default()
@@ -175,17 +175,17 @@
         request: RequestDigest,
         answered: bool,
         limit: Instant,
-    ) -> Option<CopyTicket> {
+    ) -> Option<DuplicateTicket> {
         loop {
             let changed = self.state.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let now = Instant::now();
             let wait = match self.state.limiter().begin(request, answered, now) {
-                CopyStep::Go => {
-                    return Some(CopyTicket { state: Arc::clone(&self.state), request });
+                DuplicateStep::Go => {
+                    return Some(DuplicateTicket { state: Arc::clone(&self.state), request });
                 }
-                CopyStep::Wait(until) => until,
+                DuplicateStep::Wait(until) => until,
             };
             let until = wait.unwrap_or(limit);
             if now >= limit || until > limit {
@@ -196,21 +196,21 @@
     }
 }
 
-impl CopyTicket {
+impl DuplicateTicket {
     /// Notes that something of an answer came.
-    pub fn note_progress(&self) {
-        self.state.limiter().note_progress(self.request);
+    pub fn record_progress(&self) {
+        self.state.limiter().record_progress(self.request);
         self.state.changed.notify_waiters();
     }
 
     /// Notes that an upstream ended under this copy; until when it is not repeated, where there are
     /// others.
-    pub fn note_ended(&self) -> Option<Instant> {
-        self.state.limiter().note_ended(self.request, Instant::now())
+    pub fn record_crash(&self) -> Option<Instant> {
+        self.state.limiter().record_crash(self.request, Instant::now())
     }
 }
 
-impl Drop for CopyTicket {
+impl Drop for DuplicateTicket {
     fn drop(&mut self) {
         self.state.limiter().end(self.request, Instant::now());
         self.state.changed.notify_waiters();
--- a/crates/routing/src/crash_watch.rs
+++ b/crates/routing/src/crash_tracker.rs
@@ -9,7 +9,7 @@
 use hollowbarrow_schema::{CrashRecord, RequestDigest};
 use tokio::time::Instant;
 
-use crate::crashes::{CrashLedger, EndedRun, HoldState, to_ms};
+use crate::crashes::{CrashLedger, QuarantineState, TerminatedRun, to_ms};
 
 /// Answers that are remembered, about 0.2 MB: those of a minute at 70 requests a second, the
 /// busiest daemon at the size that is planned for.
@@ -23,7 +23,7 @@
 }
 
 impl RecentAnswers {
-    fn note(&mut self, request: RequestDigest, now: Instant) {
+    fn record(&mut self, request: RequestDigest, now: Instant) {
         self.at.insert(request, now);
         self.order.push_back((request, now));
         while self.order.len() > MOST_ANSWERS {
@@ -41,27 +41,27 @@
 
 /// Knows which requests are to be sent to no upstream.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     ledger: CrashLedger,
     answers: RecentAnswers,
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Creates a watch that knows of no request.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes that an upstream ended while it ran a request.
-    pub fn note_run(&mut self, request: RequestDigest, run: EndedRun) {
-        self.ledger.note_run(request, run);
+    pub fn record_run(&mut self, request: RequestDigest, run: TerminatedRun) {
+        self.ledger.record_run(request, run);
         self.contradict(request);
     }
 
     /// Notes that a request was answered whole.
-    pub fn note_answer(&mut self, request: RequestDigest, now: Instant) {
-        self.ledger.note_answer(request, now);
-        self.answers.note(request, now);
+    pub fn record_answer(&mut self, request: RequestDigest, now: Instant) {
+        self.ledger.record_answer(request, now);
+        self.answers.record(request, now);
     }
 
     /// Whether such a request was answered here lately.
@@ -81,7 +81,7 @@
     pub fn release(&mut self, request: RequestDigest, at: Instant) {
         self.ledger.contradict(request, at);
         if self.answers.get(request).is_none_or(|known| known < at) {
-            self.answers.note(request, at);
+            self.answers.record(request, at);
         }
     }
 
@@ -94,18 +94,22 @@
     }
 
     /// For how long a request is to be sent to no upstream; none where it may be.
-    pub fn hold_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
-        self.ledger.hold_left(request, now)
+    pub fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
+        self.ledger.quarantine_left(request, now)
     }
 
     /// How a request is held; none where it is not known to end upstreams.
-    pub fn hold_state(&self, request: RequestDigest, now: Instant) -> Option<HoldState> {
-        self.ledger.hold_state(request, now)
+    pub fn quarantine_state(
+        &self,
+        request: RequestDigest,
+        now: Instant,
+    ) -> Option<QuarantineState> {
+        self.ledger.quarantine_state(request, now)
     }
 
     /// Records to tell others now; forgets what is too old.
     pub fn due(&mut self, now: Instant) -> Vec<CrashRecord> {
-        self.ledger.tidy(now);
+        self.ledger.prune(now);
         let mut records = self.ledger.due(now);
         for record in &mut records {
             let answered = self.answers.get(record.request);
--- a/crates/routing/src/crashes.rs
+++ b/crates/routing/src/crashes.rs
@@ -77,16 +77,16 @@
 
 /// How a request is held that is known to end upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HoldState {
+pub enum QuarantineState {
     /// It is to be sent to no upstream for this time.
-    Held(Duration),
+    Active(Duration),
     /// It may be tried once more; the hold has been over for this time.
-    Over(Duration),
+    Expired(Duration),
 }
 
 /// A run that ended with its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndedRun {
+pub struct TerminatedRun {
     /// Digest over the name of the upstream's life.
     pub upstream: u64,
     /// When the request was sent there.
@@ -97,7 +97,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct RequestEntry {
-    runs: Vec<EndedRun>,
+    runs: Vec<TerminatedRun>,
     answered: Option<Instant>,
     /// When it was last told of since it has changed.
     told: Option<Instant>,
@@ -105,7 +105,7 @@
 
 impl RequestEntry {
     /// Adds a run, or moves one to an earlier time; false where it is known.
-    fn add_run(&mut self, run: EndedRun) -> bool {
+    fn add_run(&mut self, run: TerminatedRun) -> bool {
         match self.runs.iter_mut().find(|held| held.upstream == run.upstream) {
             Some(held) if held.ended <= run.ended => return false,
             Some(held) => *held = run,
@@ -213,8 +213,8 @@
     }
 
     /// Notes that an upstream ended while it ran a request.
-    pub fn note_run(&mut self, request: RequestDigest, run: EndedRun) {
-        self.ends.note(run.upstream, run.ended);
+    pub fn record_run(&mut self, request: RequestDigest, run: TerminatedRun) {
+        self.ends.record(run.upstream, run.ended);
         let entry = self.requests.entry(request).or_default();
         if entry.add_run(run) {
             entry.told = None;
@@ -223,7 +223,7 @@
     }
 
     /// Notes that a request was answered whole. One of which nothing is known is passed over.
-    pub fn note_answer(&mut self, request: RequestDigest, at: Instant) {
+    pub fn record_answer(&mut self, request: RequestDigest, at: Instant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             set_answered(entry, at);
         }
@@ -243,8 +243,8 @@
             for run in &record.runs {
                 let times = (ago(run.sent_ms, now), ago(run.ended_ms, now));
                 let (Some(sent), Some(ended)) = times else { continue };
-                self.ends.note(run.upstream, ended);
-                changed |= entry.add_run(EndedRun { upstream: run.upstream, sent, ended });
+                self.ends.record(run.upstream, ended);
+                changed |= entry.add_run(TerminatedRun { upstream: run.upstream, sent, ended });
             }
             if changed {
                 entry.told = None;
@@ -257,24 +257,28 @@
     }
 
     /// For how long a request is to be sent to no upstream; none where it may be.
-    pub fn hold_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
-        match self.hold_state(request, now)? {
-            HoldState::Held(left) => Some(left),
-            HoldState::Over(_) => None,
+    pub fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
+        match self.quarantine_state(request, now)? {
+            QuarantineState::Active(left) => Some(left),
+            QuarantineState::Expired(_) => None,
         }
     }
 
     /// How a request is held; none where it is not known to end upstreams.
-    pub fn hold_state(&self, request: RequestDigest, now: Instant) -> Option<HoldState> {
+    pub fn quarantine_state(
+        &self,
+        request: RequestDigest,
+        now: Instant,
+    ) -> Option<QuarantineState> {
         let until = self.requests.get(&request)?.held_until(self)?;
         Some(match until.checked_duration_since(now) {
-            Some(left) if !left.is_zero() => HoldState::Held(left),
-            _ => HoldState::Over(now.saturating_duration_since(until)),
+            Some(left) if !left.is_zero() => QuarantineState::Active(left),
+            _ => QuarantineState::Expired(now.saturating_duration_since(until)),
         })
     }
 
     /// Requests that are known to end upstreams, the latest first.
-    pub fn held(&self, now: Instant) -> Vec<HeldRequest> {
+    pub fn quarantined(&self, now: Instant) -> Vec<HeldRequest> {
         let known = |(request, entry): (&RequestDigest, &RequestEntry)| {
             Some((entry.held_until(self)?, *request))
         };
@@ -305,9 +309,9 @@
     }
 
     /// Forgets runs of long ago.
-    pub fn tidy(&mut self, now: Instant) {
+    pub fn prune(&mut self, now: Instant) {
         let recent = |at: Instant| now.saturating_duration_since(at) < RETENTION;
-        self.ends.tidy(recent);
+        self.ends.prune(recent);
         self.requests.retain(|_, entry| {
             entry.runs.retain(|run| recent(run.ended));
             !entry.runs.is_empty() || entry.answered.is_some_and(recent)
@@ -351,7 +355,7 @@
 
 fn to_record(request: RequestDigest, entry: &RequestEntry, now: Instant) -> CrashRecord {
     let age = |at: Instant| to_ms(now.saturating_duration_since(at));
-    let told = |run: &EndedRun| CrashedRun {
+    let told = |run: &TerminatedRun| CrashedRun {
         upstream: run.upstream,
         sent_ms: age(run.sent),
         ended_ms: age(run.ended),
--- a/crates/routing/src/limit_coordinator.rs
+++ b/crates/routing/src/limit_coordinator.rs
@@ -56,10 +56,10 @@
     }
 
     /// Takes in what a daemon tells.
-    pub fn take_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Instant) -> AskOutcome {
+    pub fn handle_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Instant) -> AskOutcome {
         let mut changed = Vec::new();
         for told in &ask.limits {
-            if self.words.note(&told.upstream, from_told(told, now)) {
+            if self.words.record(&told.upstream, from_told(told, now)) {
                 let limit = self.words.limit(&told.upstream);
                 self.issuer.set_limit(&told.upstream, limit, now);
                 changed.push((told.upstream.clone(), limit));
@@ -67,7 +67,7 @@
             }
         }
         for need in &ask.needs {
-            self.issuer.take_need(from, need, now);
+            self.issuer.record_need(from, need, now);
         }
         let mut grants = self.issue(now);
         let answer = grants.entry(from.clone()).or_default();
@@ -86,7 +86,7 @@
         let told = ask.limits.iter().map(|told| told.upstream.as_str());
         let needed = ask.needs.iter().map(|need| need.upstream.as_str());
         let names: BTreeSet<&str> = told.chain(needed).collect();
-        let known = names.into_iter().filter_map(|name| Some((name, self.words.word(name)?)));
+        let known = names.into_iter().filter_map(|name| Some((name, self.words.notice(name)?)));
         known.map(|(name, word)| to_told(name, word, now)).collect()
     }
 
@@ -101,27 +101,27 @@
     }
 
     /// What all daemons are to be told of limits now; nothing where that was told a moment ago.
-    pub fn told_due(&mut self, now: Instant) -> Vec<UpstreamLimit> {
+    pub fn due_limits(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let recent = |at: Instant| now.saturating_duration_since(at) < TOLD_INTERVAL;
         if self.told.is_some_and(recent) {
             return Vec::new();
         }
         self.told = Some(now);
-        self.told(now)
+        self.published_limits(now)
     }
 
     /// What daemons are told of limits.
-    pub fn told(&self, now: Instant) -> Vec<UpstreamLimit> {
+    pub fn published_limits(&self, now: Instant) -> Vec<UpstreamLimit> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let words = self.words.words();
+        let words = self.words.notices();
         let counts =
             words.filter(|(_, word)| word.limit.is_some() || age(word.span.came) < ENDED_TIME);
         counts.map(|(upstream, word)| to_told(upstream, word, now)).collect()
     }
 
     /// Forgets upstreams that are not known any more.
-    pub fn tidy(&mut self, known: impl Fn(&str) -> bool) {
-        self.words.tidy(|upstream| known(upstream));
-        self.issuer.tidy(|upstream| known(upstream));
+    pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
+        self.words.prune(|upstream| known(upstream));
+        self.issuer.prune(|upstream| known(upstream));
     }
 }
--- a/crates/routing/src/limit_table.rs
+++ b/crates/routing/src/limit_table.rs
@@ -16,7 +16,7 @@
 
 /// The time within which an upstream wrote a word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WordSpan {
+pub struct NoticeInterval {
     /// When the request was sent that the word answers.
     pub sent: Instant,
     /// When the head of the answer came.
@@ -30,14 +30,14 @@
 
 /// What an upstream said of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitWord {
+pub struct LimitNotice {
     /// Requests that it takes from all daemons together; none where it names no limit.
     pub limit: Option<RequestRate>,
     /// When it was written.
-    pub span: WordSpan,
+    pub span: NoticeInterval,
 }
 
-impl LimitWord {
+impl LimitNotice {
     /// Whether this word was surely written after another.
     pub fn is_after(&self, other: &Self) -> bool {
         self.span.sent >= other.span.came
@@ -64,7 +64,7 @@
 /// The newest word of each upstream that has named a limit.
 #[derive(Clone, Debug)]
 pub struct LimitTable<K> {
-    words: HashMap<K, LimitWord>,
+    words: HashMap<K, LimitNotice>,
 }
 
 impl<K> Default for LimitTable<K> {
@@ -80,7 +80,7 @@
     }
 
     /// Takes a word in; true where the limit of the upstream is another one now.
-    pub fn note(&mut self, upstream: &K, word: LimitWord) -> bool {
+    pub fn record(&mut self, upstream: &K, word: LimitNotice) -> bool {
         let held = self.words.get(upstream);
         if held.map_or(word.limit.is_none(), |held| !word.supersedes(held)) {
             return false;
@@ -95,7 +95,7 @@
     }
 
     /// The newest word of an upstream, if it has ever named a limit.
-    pub fn word<Q>(&self, upstream: &Q) -> Option<&LimitWord>
+    pub fn notice<Q>(&self, upstream: &Q) -> Option<&LimitNotice>
     where
         K: Borrow<Q>,
         Q: Eq + Hash + ?Sized,
@@ -104,12 +104,12 @@
     }
 
     /// The newest words of all upstreams that have ever named a limit.
-    pub fn words(&self) -> impl Iterator<Item = (&K, &LimitWord)> {
+    pub fn notices(&self) -> impl Iterator<Item = (&K, &LimitNotice)> {
         self.words.iter()
     }
 
     /// Forgets upstreams that are not known any more.
-    pub fn tidy(&mut self, known: impl Fn(&K) -> bool) {
+    pub fn prune(&mut self, known: impl Fn(&K) -> bool) {
         self.words.retain(|upstream, _| known(upstream));
     }
 
--- a/crates/routing/src/limiter.rs
+++ b/crates/routing/src/limiter.rs
@@ -189,7 +189,7 @@
     }
 
     /// Takes the word of another daemon, or of one for its whole zone, on demand.
-    pub fn observe_demand(
+    pub fn record_demand(
         &self,
         speaker: &str,
         zone: &ZoneId,
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -11,7 +11,7 @@
 use hollowbarrow_schema::{PermitAsk, PermitGrant, PermitNeed, RequestRate, UpstreamLimit};
 use tokio::time::Instant;
 
-use crate::limit_table::{LimitTable, LimitWord, WordSpan};
+use crate::limit_table::{LimitNotice, LimitTable, NoticeInterval};
 use crate::permits::{Permit, PermitHolder};
 
 /// Time by which a word that another daemon told may be older than it seems.
@@ -22,7 +22,7 @@
 const NEWS_PAUSE: Duration = Duration::from_millis(250);
 
 /// A word as it is told to another daemon.
-pub(crate) fn to_told(upstream: &str, word: &LimitWord, now: Instant) -> UpstreamLimit {
+pub(crate) fn to_told(upstream: &str, word: &LimitNotice, now: Instant) -> UpstreamLimit {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u32;
     UpstreamLimit {
         upstream: upstream.to_owned(),
@@ -33,18 +33,18 @@
 }
 
 /// A word that another daemon told; what it took to come here makes it seem newer than it is.
-pub(crate) fn from_told(told: &UpstreamLimit, now: Instant) -> LimitWord {
+pub(crate) fn from_told(told: &UpstreamLimit, now: Instant) -> LimitNotice {
     let before = |ms: u32| now.checked_sub(Duration::from_millis(ms.into())).unwrap_or(now);
     let came = before(told.came_ms);
     let sent = before(told.sent_ms);
     let sent = sent.checked_sub(TELLING_TIME).unwrap_or(sent);
-    LimitWord { limit: told.limit, span: WordSpan { sent, came } }
+    LimitNotice { limit: told.limit, span: NoticeInterval { sent, came } }
 }
 
 /// A word of the leader.
 #[derive(Clone, Copy, Debug)]
 struct LeaderWord {
-    word: LimitWord,
+    word: LimitNotice,
     /// When the leader last told it.
     told: Instant,
 }
@@ -79,9 +79,9 @@
         self.newest(upstream)?.limit
     }
 
-    fn newest(&self, upstream: &str) -> Option<LimitWord> {
+    fn newest(&self, upstream: &str) -> Option<LimitNotice> {
         let told = self.told.get(upstream).map(|told| told.word);
-        let own = self.own.word(upstream);
+        let own = self.own.notice(upstream);
         match (own, told) {
             (Some(own), Some(told)) if told.is_after(own) => Some(told),
             (Some(own), _) => Some(*own),
@@ -90,16 +90,16 @@
     }
 
     /// Notes what the head of an answer said; true where the limit is another one now.
-    pub fn note(&mut self, upstream: &str, word: LimitWord) -> bool {
+    pub fn record_notice(&mut self, upstream: &str, word: LimitNotice) -> bool {
         let former = self.limit(upstream);
         let name = upstream.to_owned();
-        if self.own.word(upstream).is_none()
+        if self.own.notice(upstream).is_none()
             && let Some(told) = self.told.get(upstream)
         {
             // What others heard is what this daemon's own word ends.
-            self.own.note(&name, told.word);
+            self.own.record(&name, told.word);
         }
-        self.own.note(&name, word);
+        self.own.record(&name, word);
         if former != self.limit(upstream) {
             self.news.remove(upstream);
         }
@@ -107,7 +107,7 @@
     }
 
     /// Takes in what the leader tells of limits.
-    pub fn take_told(&mut self, limits: &[UpstreamLimit], now: Instant) {
+    pub fn record_published(&mut self, limits: &[UpstreamLimit], now: Instant) {
         for told in limits {
             let former = self.limit(&told.upstream);
             let word = from_told(told, now);
@@ -126,7 +126,7 @@
             _ => false,
         };
         if falls {
-            self.holder.note_fall(upstream);
+            self.holder.record_limit_decrease(upstream);
         }
         limit != former
     }
@@ -134,11 +134,12 @@
     /// Upstreams with a limit for which no permit is there, where so many daemons share them.
     pub fn lacking(&mut self, daemons: u32, now: Instant) -> HashSet<String> {
         let names: HashSet<&String> =
-            self.own.words().map(|(name, _)| name).chain(self.told.keys()).collect();
+            self.own.notices().map(|(name, _)| name).chain(self.told.keys()).collect();
         let limited: Vec<(String, RequestRate)> =
             names.into_iter().filter_map(|name| Some((name.clone(), self.limit(name)?))).collect();
-        let lacks =
-            |(name, limit): &(String, RequestRate)| !self.holder.holds(name, *limit, daemons, now);
+        let lacks = |(name, limit): &(String, RequestRate)| {
+            !self.holder.has_permit(name, *limit, daemons, now)
+        };
         limited.into_iter().filter(lacks).map(|(name, _)| name).collect()
     }
 
@@ -154,13 +155,13 @@
     }
 
     /// Notes that a later request could use a permit, while this one goes elsewhere.
-    pub fn note_need_ahead(&mut self, upstream: &str, lifetime: Duration, now: Instant) {
-        self.holder.note_need(upstream, lifetime, now);
+    pub fn record_future_need(&mut self, upstream: &str, lifetime: Duration, now: Instant) {
+        self.holder.record_need(upstream, lifetime, now);
     }
 
     /// Notes that a request waits for a permit of one of several upstreams, or, if `again`, still
     /// does; false where none can come in time.
-    pub fn note_need_of_any(
+    pub fn record_need_of_any(
         &mut self,
         upstreams: &[String],
         lifetime: Duration,
@@ -173,7 +174,7 @@
         }
         let mut order: Vec<&String> = upstreams.iter().collect();
         order.sort_by_cached_key(|one| (self.holder.count_needs(one, now), rand::random::<u32>()));
-        order.into_iter().any(|one| self.holder.note_need(one, lifetime, now))
+        order.into_iter().any(|one| self.holder.record_need(one, lifetime, now))
     }
 
     /// Shortest time after which one of several upstreams may have a permit.
@@ -202,7 +203,7 @@
     /// Limits that the leader does not seem to know.
     fn news_due(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let mut due = Vec::new();
-        for (name, own) in self.own.words() {
+        for (name, own) in self.own.notices() {
             let told = self.told.get(name).map(|told| told.word);
             let known = told.and_then(|told| told.limit) == own.limit;
             let paused = self.news.get(name).is_some_and(|at| *at + NEWS_PAUSE > now);
@@ -216,27 +217,27 @@
     }
 
     /// Takes in the permits that were issued.
-    pub fn take_grant(&mut self, grant: &PermitGrant, now: Instant) {
-        self.take_told(&grant.limits, now);
+    pub fn record_grant(&mut self, grant: &PermitGrant, now: Instant) {
+        self.record_published(&grant.limits, now);
         for terms in &grant.terms {
-            self.holder.take_issued(&terms.upstream, terms.issued, now);
+            self.holder.record_issued(&terms.upstream, terms.issued, now);
             if let Some(wait_ms) = terms.wait_ms {
                 let wait = Duration::from_millis(wait_ms.into());
-                self.holder.take_wait(&terms.upstream, wait, now);
+                self.holder.record_wait(&terms.upstream, wait, now);
             }
         }
     }
 
     /// Forgets upstreams that are not known any more.
-    pub fn tidy(&mut self, known: impl Fn(&str) -> bool) {
-        self.own.tidy(|name| known(name.as_str()));
+    pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
+        self.own.prune(|name| known(name.as_str()));
         self.news.retain(|name, _| known(name));
         let limited: HashSet<String> = self
             .own
-            .words()
+            .notices()
             .map(|(name, _)| name.clone())
             .chain(self.told.keys().cloned())
             .collect();
-        self.holder.tidy(|name| limited.contains(name));
+        self.holder.prune(|name| limited.contains(name));
     }
 }
--- a/crates/routing/src/permits/holder.rs
+++ b/crates/routing/src/permits/holder.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether a permit is there for an upstream with this limit, which so many daemons share.
-    pub fn holds(
+    pub fn has_permit(
         &mut self,
         upstream: &str,
         limit: RequestRate,
@@ -143,7 +143,7 @@
 
     /// Notes that a request could use a permit for some time, unless the issuer has said that none
     /// can come meanwhile; true where it may come.
-    pub fn note_need(&mut self, upstream: &str, lifetime: Duration, now: Instant) -> bool {
+    pub fn record_need(&mut self, upstream: &str, lifetime: Duration, now: Instant) -> bool {
         let held = self.held.entry(upstream.to_owned()).or_default();
         if held.next.is_some_and(|next| next > now + lifetime) {
             return false;
@@ -180,7 +180,7 @@
     }
 
     /// Takes permits in.
-    pub fn take_issued(&mut self, upstream: &str, count: u32, now: Instant) {
+    pub fn record_issued(&mut self, upstream: &str, count: u32, now: Instant) {
         self.unanswered = None;
         let held = self.held.entry(upstream.to_owned()).or_default();
         held.expire(now);
@@ -189,7 +189,7 @@
 
     /// Takes in after what time the issuer expects to issue one more; drops the needs that end
     /// before.
-    pub fn take_wait(&mut self, upstream: &str, wait: Duration, now: Instant) {
+    pub fn record_wait(&mut self, upstream: &str, wait: Duration, now: Instant) {
         self.unanswered = None;
         if let Some(held) = self.held.get_mut(upstream) {
             held.next = Some(now + wait);
@@ -198,7 +198,7 @@
     }
 
     /// Keeps one permit at most for an upstream whose limit has fallen.
-    pub fn note_fall(&mut self, upstream: &str) {
+    pub fn record_limit_decrease(&mut self, upstream: &str) {
         if let Some(held) = self.held.get_mut(upstream) {
             held.permits.truncate(1);
         }
@@ -217,7 +217,7 @@
     }
 
     /// Forgets upstreams without a limit.
-    pub fn tidy(&mut self, limited: impl Fn(&str) -> bool) {
+    pub fn prune(&mut self, limited: impl Fn(&str) -> bool) {
         self.held.retain(|upstream, _| limited(upstream));
         if self.held.is_empty() {
             self.unanswered = None;
--- a/crates/routing/src/permits/issuer.rs
+++ b/crates/routing/src/permits/issuer.rs
@@ -126,7 +126,7 @@
 
     /// Takes in what a daemon needs now, in place of what it needed before, and what it
     /// returns unused.
-    pub fn take_need(&mut self, daemon: &DaemonId, need: &PermitNeed, now: Instant) {
+    pub fn record_need(&mut self, daemon: &DaemonId, need: &PermitNeed, now: Instant) {
         let Some(bucket) = self.buckets.get_mut(&need.upstream) else { return };
         bucket.fill(now);
         bucket.add(f64::from(need.returned));
@@ -159,7 +159,7 @@
     }
 
     /// Forgets upstreams that are not known any more.
-    pub fn tidy(&mut self, known: impl Fn(&str) -> bool) {
+    pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
         self.buckets.retain(|upstream, _| known(upstream));
     }
 }
--- a/crates/routing/src/permits/mod.rs
+++ b/crates/routing/src/permits/mod.rs
@@ -30,10 +30,10 @@
 /// Longest time for which a permit may be used.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
 /// Time for which a request waits for a permit: a few times what the issuer takes to answer.
-pub const PERMIT_PATIENCE: Duration = Duration::from_millis(100);
+pub const PERMIT_WAIT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause between two looks at whether a permit is there: a daemon that permits itself a request is
 /// told nothing.
-pub const PERMIT_POLL: Duration = Duration::from_millis(25);
+pub const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Longest pause between two messages to the issuer.
 pub const PERMIT_INTERVAL: Duration = Duration::from_millis(50);
 /// Lowest rate at which permits are issued, in requests a second: an upstream that gets no request
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -194,7 +194,7 @@
     }
 
     /// Notes that a request was sent.
-    pub fn note_start(&mut self, key: &UpstreamKey, blocks: &[u64], now: Instant) {
+    pub fn record_start(&mut self, key: &UpstreamKey, blocks: &[u64], now: Instant) {
         let tally = self.tallies.entry(key.clone()).or_insert_with(UpstreamTally::new);
         tally.in_flight += 1;
         tally.started.push_back(now);
@@ -202,19 +202,19 @@
     }
 
     /// Notes that a request ended; `first_ms` is the time to its first byte, if one came.
-    pub fn note_end(&mut self, key: &UpstreamKey, first_ms: Option<f64>, now: Instant) {
+    pub fn record_end(&mut self, key: &UpstreamKey, first_ms: Option<f64>, now: Instant) {
         let Some(tally) = self.tallies.get_mut(key) else { return };
         if let Some(first_ms) = first_ms {
-            tally.limit.note_answer(first_ms, tally.in_flight);
+            tally.limit.record_answer(first_ms, tally.in_flight);
         }
         tally.in_flight = tally.in_flight.saturating_sub(1);
         tally.ended.push_back(now);
     }
 
     /// Notes that an upstream refused a request for lack of room.
-    pub fn note_refusal(&mut self, key: &UpstreamKey) {
+    pub fn record_refusal(&mut self, key: &UpstreamKey) {
         if let Some(tally) = self.tallies.get_mut(key) {
-            tally.limit.note_refusal();
+            tally.limit.record_refusal();
         }
     }
 
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -83,7 +83,7 @@
     }
 
     /// Takes a cache event that removes blocks; returns false at a gap in the numbers.
-    pub fn take_removal(&mut self, holder: &UpstreamKey, sequence: u64, blocks: &[u64]) -> bool {
+    pub fn apply_removal(&mut self, holder: &UpstreamKey, sequence: u64, blocks: &[u64]) -> bool {
         let last = self.sequences.insert(holder.clone(), sequence);
         if last.is_some_and(|last| last + 1 != sequence) {
             self.forget_upstream(holder);
--- a/crates/routing/src/trials.rs
+++ b/crates/routing/src/probes.rs
@@ -23,20 +23,20 @@
 const TRIAL_PAUSE: Duration = Duration::from_secs(1);
 
 /// For how long a daemon sends a request to no upstream whose hold has been over for `over`; none
-/// where it may try. The other arguments are those of [`may_try`].
-pub fn trial_hold(
+/// where it may try. The other arguments are those of [`may_probe`].
+pub fn probe_delay(
     daemon: u64,
     request: RequestDigest,
     window: u64,
     daemons: u32,
     over: Duration,
 ) -> Option<Duration> {
-    (!may_try(daemon, request, window, daemons, over)).then_some(TRIAL_PAUSE)
+    (!may_probe(daemon, request, window, daemons, over)).then_some(TRIAL_PAUSE)
 }
 
 /// Whether a daemon may send a request once more in this window; `daemon` tells it from the
 /// others, and the hold has been over for `over`.
-pub fn may_try(
+pub fn may_probe(
     daemon: u64,
     request: RequestDigest,
     window: u64,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -191,7 +191,7 @@
     }
 
     /// Notes a first attempt, which earns a part of a retry.
-    pub fn note_request(&self) {
+    pub fn record_request(&self) {
         let mut state = self.lock();
         state.tokens = (state.tokens + state.limits.ratio).min(state.limits.most);
     }
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -20,8 +20,8 @@
 fn reason_asked(#[case] ms: u64, #[case] left_ms: Option<u64>) {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.note_asked(&"a", ASKED, now);
-    let left = left_ms.map(|ms| BackoffReason::Asked(Duration::from_millis(ms)));
+    table.record_backoff(&"a", ASKED, now);
+    let left = left_ms.map(|ms| BackoffReason::Requested(Duration::from_millis(ms)));
     assert_eq!(table.reason(&"a", after(now, ms)), left);
     assert_eq!(table.reason(&"b", after(now, ms)), None, "it asked for nothing");
 }
@@ -35,7 +35,7 @@
     let now = Instant::now();
     let mut table = BackoffTable::new();
     for (at, ms) in asked {
-        table.note_asked(&"a", Duration::from_millis(*ms), after(now, *at));
+        table.record_backoff(&"a", Duration::from_millis(*ms), after(now, *at));
     }
     assert!(table.reason(&"a", after(now, end_ms - 1)).is_some());
     assert_eq!(table.reason(&"a", after(now, end_ms)), None);
@@ -45,9 +45,9 @@
 fn reason_leaving_for_good() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.note_asked(&"a", ASKED, now);
-    assert!(table.note_leaving(&"a"), "it is news");
-    assert!(!table.note_leaving(&"a"), "it is known");
+    table.record_backoff(&"a", ASKED, now);
+    assert!(table.record_leaving(&"a"), "it is news");
+    assert!(!table.record_leaving(&"a"), "it is known");
     assert_eq!(table.reason(&"a", after(now, 86_400_000)), Some(BackoffReason::Leaving));
 }
 
@@ -56,7 +56,7 @@
 fn reason_asked_for_too_long() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.note_asked(&"a", Duration::MAX, now);
+    table.record_backoff(&"a", Duration::MAX, now);
     assert!(table.reason(&"a", after(now, 3_599_999)).is_some());
     assert_eq!(table.reason(&"a", after(now, 3_600_000)), None);
 }
@@ -66,11 +66,11 @@
 fn tidy_keeps_what_counts() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.note_asked(&"over", Duration::from_secs(1), now);
-    table.note_asked(&"asked", ASKED, now);
-    table.note_leaving(&"leaving");
-    table.note_leaving(&"ended");
-    table.tidy(|upstream| *upstream != "ended", after(now, 1000));
+    table.record_backoff(&"over", Duration::from_secs(1), now);
+    table.record_backoff(&"asked", ASKED, now);
+    table.record_leaving(&"leaving");
+    table.record_leaving(&"ended");
+    table.prune(|upstream| *upstream != "ended", after(now, 1000));
     assert_eq!(table.len(), 2);
     assert!(!table.is_empty());
     assert!(table.reason(&"asked", after(now, 1000)).is_some());
--- a/crates/routing/tests/currency.rs
+++ b/crates/routing/tests/config_freshness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::CurrencyFacts;
+use hollowbarrow_routing::ConfigFreshness;
 use rstest::rstest;
 
 /// Time for which the leader's word holds.
@@ -23,6 +23,7 @@
     #[case] word_ms: Option<u64>,
     #[case] current: bool,
 ) {
-    let facts = CurrencyFacts { version, known, word_age: word_ms.map(Duration::from_millis) };
+    let facts =
+        ConfigFreshness { version, known, confirmation_age: word_ms.map(Duration::from_millis) };
     assert_eq!(facts.is_current(TRUST), current);
 }
--- a/crates/routing/tests/copies.rs
+++ b/crates/routing/tests/copies.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::{CopyGate, CopyLimiter, CopyStep};
+use hollowbarrow_routing::{DuplicateGate, DuplicateLimiter, DuplicateStep};
 use hollowbarrow_schema::RequestDigest;
 use rstest::rstest;
 use tokio::time::Instant;
 
 const REQUEST: RequestDigest = RequestDigest(7);
 const NEWS_TIME: Duration = Duration::from_millis(600);
-const WAIT: CopyStep = CopyStep::Wait(None);
+const WAIT: DuplicateStep = DuplicateStep::Wait(None);
 
 fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -18,22 +18,22 @@
 #[rstest]
 fn begin_first_alone() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
-    assert_eq!(limiter.begin(REQUEST, false, now), CopyStep::Go);
+    let mut limiter = DuplicateLimiter::new();
+    assert_eq!(limiter.begin(REQUEST, false, now), DuplicateStep::Go);
     assert_eq!(limiter.begin(REQUEST, false, now), WAIT);
-    assert_eq!(limiter.begin(RequestDigest(8), false, now), CopyStep::Go, "another request");
-    limiter.note_progress(REQUEST);
+    assert_eq!(limiter.begin(RequestDigest(8), false, now), DuplicateStep::Go, "another request");
+    limiter.record_progress(REQUEST);
     for _ in 0..100 {
-        assert_eq!(limiter.begin(REQUEST, false, now), CopyStep::Go, "it is answered");
+        assert_eq!(limiter.begin(REQUEST, false, now), DuplicateStep::Go, "it is answered");
     }
 }
 
 #[rstest]
 fn begin_answered_before() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     for _ in 0..100 {
-        assert_eq!(limiter.begin(REQUEST, true, now), CopyStep::Go);
+        assert_eq!(limiter.begin(REQUEST, true, now), DuplicateStep::Go);
     }
 }
 
@@ -41,15 +41,15 @@
 #[rstest]
 fn begin_after_end() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
     limiter.begin(REQUEST, false, now);
-    let until = limiter.note_ended(REQUEST, now + ms(40)).expect("there is another one");
+    let until = limiter.record_crash(REQUEST, now + ms(40)).expect("there is another one");
     assert_eq!(until, now + ms(40) + NEWS_TIME);
     limiter.end(REQUEST, now + ms(40));
-    let paused = CopyStep::Wait(Some(until));
+    let paused = DuplicateStep::Wait(Some(until));
     assert_eq!(limiter.begin(REQUEST, false, now + ms(41)), paused);
-    assert_eq!(limiter.begin(REQUEST, false, until), CopyStep::Go);
+    assert_eq!(limiter.begin(REQUEST, false, until), DuplicateStep::Go);
     limiter.end(REQUEST, until);
     assert!(limiter.is_empty(), "nothing is kept of it");
 }
@@ -58,9 +58,9 @@
 #[rstest]
 fn note_ended_single_copy() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
-    assert_eq!(limiter.note_ended(REQUEST, now + ms(40)), None);
+    assert_eq!(limiter.record_crash(REQUEST, now + ms(40)), None);
     limiter.end(REQUEST, now + ms(50));
     assert!(limiter.is_empty());
 }
@@ -68,23 +68,23 @@
 #[rstest]
 fn end_lets_next_go() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
     assert_eq!(limiter.begin(REQUEST, false, now), WAIT);
     limiter.end(REQUEST, now + ms(10));
-    assert_eq!(limiter.begin(REQUEST, false, now + ms(10)), CopyStep::Go);
+    assert_eq!(limiter.begin(REQUEST, false, now + ms(10)), DuplicateStep::Go);
 }
 
 /// Nothing is kept of pauses that are over, although nobody comes again.
 #[rstest]
 fn begin_forgets_pauses() {
     let now = Instant::now();
-    let mut limiter = CopyLimiter::new();
+    let mut limiter = DuplicateLimiter::new();
     for number in 0..1000 {
         let request = RequestDigest(number);
         limiter.begin(request, false, now);
         limiter.begin(request, false, now);
-        limiter.note_ended(request, now);
+        limiter.record_crash(request, now);
         limiter.end(request, now);
     }
     assert_eq!(limiter.len(), 1000);
@@ -98,7 +98,7 @@
 #[case::ended(false, 1)]
 #[tokio::test(start_paused = true)]
 async fn enter_burst(#[case] answered: bool, #[case] expected: usize) {
-    let gate = CopyGate::new();
+    let gate = DuplicateGate::new();
     let limit = Instant::now() + ms(250);
     let first = gate.enter(REQUEST, false, limit).await.expect("it is the first");
     let others = (0..39).map(|_| gate.enter(REQUEST, false, limit));
@@ -112,10 +112,10 @@
     let outcome = async {
         tokio::time::sleep(ms(80)).await;
         if answered {
-            first.note_progress();
+            first.record_progress();
             return Some(first);
         }
-        first.note_ended();
+        first.record_crash();
         drop(first);
         None
     };
--- a/crates/routing/tests/crash_bursts.rs
+++ b/crates/routing/tests/crash_bursts.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hollowbarrow_routing::{CrashLedger, EndedRun};
+use hollowbarrow_routing::{CrashLedger, TerminatedRun};
 use hollowbarrow_schema::RequestDigest;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -177,14 +177,14 @@
     for (number, (request, run, ended)) in scene.broken_runs(false).into_iter().enumerate() {
         if sees(number) {
             let (sent, ended) = (when(run.sent), when(ended));
-            let run = EndedRun { upstream: run.upstream, sent, ended };
-            ledger.note_run(RequestDigest(request), run);
+            let run = TerminatedRun { upstream: run.upstream, sent, ended };
+            ledger.record_run(RequestDigest(request), run);
         }
     }
     if let Some(answered) = scene.answered(at) {
         ledger.contradict(REQUEST, when(answered));
     }
-    ledger.hold_left(REQUEST, when(at))
+    ledger.quarantine_left(REQUEST, when(at))
 }
 
 const WAYS: [(&str, Way); 7] = [
--- a/crates/routing/tests/crashes.rs
+++ b/crates/routing/tests/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::{CrashLedger, EndedRun};
+use hollowbarrow_routing::{CrashLedger, TerminatedRun};
 use hollowbarrow_schema::{CrashRecord, CrashedRun, RequestDigest};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -21,13 +21,13 @@
 fn ledger_of(start: Instant, runs: &[(u64, u64)]) -> CrashLedger {
     let mut ledger = CrashLedger::new();
     for (number, (sent, ended)) in runs.iter().enumerate() {
-        ledger.note_run(REQUEST, run(start, number as u64, *sent, *ended));
+        ledger.record_run(REQUEST, run(start, number as u64, *sent, *ended));
     }
     ledger
 }
 
-fn run(start: Instant, upstream: u64, sent: u64, ended: u64) -> EndedRun {
-    EndedRun { upstream, sent: start + ms(sent), ended: start + ms(ended) }
+fn run(start: Instant, upstream: u64, sent: u64, ended: u64) -> TerminatedRun {
+    TerminatedRun { upstream, sent: start + ms(sent), ended: start + ms(ended) }
 }
 
 #[rstest]
@@ -45,7 +45,7 @@
 fn hold_runs(#[case] runs: &[(u64, u64)], #[case] expected: Option<Duration>) {
     let start = Instant::now();
     let last = runs.iter().map(|(_, ended)| *ended).max().expect("there are runs");
-    let left = ledger_of(start, runs).hold_left(REQUEST, start + ms(last));
+    let left = ledger_of(start, runs).quarantine_left(REQUEST, start + ms(last));
     assert_eq!(left, expected);
 }
 
@@ -54,9 +54,9 @@
     let start = Instant::now();
     let mut ledger = CrashLedger::new();
     for number in 0..6 {
-        ledger.note_run(REQUEST, run(start, 1, number * 100, number * 100 + 50));
+        ledger.record_run(REQUEST, run(start, 1, number * 100, number * 100 + 50));
     }
-    assert_eq!(ledger.hold_left(REQUEST, start + ms(600)), None, "an upstream that goes on");
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(600)), None, "an upstream that goes on");
 }
 
 #[rstest]
@@ -65,8 +65,8 @@
 fn hold_answered_since(#[case] answered: u64) {
     let start = Instant::now();
     let mut ledger = ledger_of(start, &[(0, 100), (100, 200), (900, 1000)]);
-    ledger.note_answer(REQUEST, start + ms(answered));
-    assert_eq!(ledger.hold_left(REQUEST, start + ms(1000)), None);
+    ledger.record_answer(REQUEST, start + ms(answered));
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), None);
 }
 
 /// A request that many callers send alike was answered again and again, until workers ended one
@@ -83,7 +83,7 @@
     let mut ledger = ledger_of(start, &runs);
     ledger.contradict(REQUEST, start);
     let last = runs.last().expect("there are runs").1;
-    assert_eq!(ledger.hold_left(REQUEST, start + ms(last)), expected);
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(last)), expected);
 }
 
 #[rstest]
@@ -93,15 +93,18 @@
     let mut now = start + ms(1000);
     let mut hold = FIRST_HOLD;
     for number in 3..10 {
-        assert_eq!(ledger.hold_left(REQUEST, now), Some(hold.min(LONGEST_HOLD)));
+        assert_eq!(ledger.quarantine_left(REQUEST, now), Some(hold.min(LONGEST_HOLD)));
         now += hold.min(LONGEST_HOLD);
-        assert_eq!(ledger.hold_left(REQUEST, now), None, "it may be tried once more");
-        assert_eq!(ledger.held(now).len(), 1, "and is still known");
-        ledger.note_run(REQUEST, EndedRun { upstream: number, sent: now, ended: now + ms(50) });
+        assert_eq!(ledger.quarantine_left(REQUEST, now), None, "it may be tried once more");
+        assert_eq!(ledger.quarantined(now).len(), 1, "and is still known");
+        ledger.record_run(
+            REQUEST,
+            TerminatedRun { upstream: number, sent: now, ended: now + ms(50) },
+        );
         now += ms(50);
         hold *= 2;
     }
-    ledger.tidy(now + Duration::from_secs(3600));
+    ledger.prune(now + Duration::from_secs(3600));
     assert!(ledger.is_empty(), "after an hour nothing is known");
 }
 
@@ -119,7 +122,7 @@
         now += ms(2000);
     }
     for ledger in &ledgers {
-        let left = ledger.hold_left(REQUEST, now);
+        let left = ledger.quarantine_left(REQUEST, now);
         let expected = (start + ms(1000) + FIRST_HOLD).checked_duration_since(now);
         let late = left.unwrap_or_default().saturating_sub(expected.unwrap_or_default());
         assert!(late <= ms(120), "it seems {late:?} younger, at most two ways of 40 ms expected");
@@ -133,7 +136,7 @@
     let mut gateway = CrashLedger::new();
     gateway.contradict(REQUEST, start + ms(950));
     leader.merge(&gateway.due(start + ms(1100)), start + ms(1101));
-    assert_eq!(leader.hold_left(REQUEST, start + ms(1101)), None);
+    assert_eq!(leader.quarantine_left(REQUEST, start + ms(1101)), None);
 }
 
 #[rstest]
@@ -142,7 +145,7 @@
     let mut ledger = ledger_of(start, &[(0, 100)]);
     assert_eq!(ledger.due(start + ms(100)).len(), 1);
     assert_eq!(ledger.due(start + ms(1000)).len(), 0, "nothing has changed");
-    ledger.note_run(REQUEST, run(start, 9, 900, 1000));
+    ledger.record_run(REQUEST, run(start, 9, 900, 1000));
     assert_eq!(ledger.due(start + ms(1075)).len(), 1);
     assert_eq!(ledger.due(start + ms(3075)).len(), 1, "what was told may have been lost");
 }
@@ -167,13 +170,13 @@
     let start = Instant::now();
     let mut ledger = ledger_of(start, &[(0, 100), (100, 200), (900, 1000)]);
     for request in 100..10_000 {
-        ledger.note_run(RequestDigest(request), run(start, 1, 900, 2000));
+        ledger.record_run(RequestDigest(request), run(start, 1, 900, 2000));
     }
     assert!(ledger.len() <= 4096);
     let records = ledger.due(start + ms(2000));
     assert_eq!(records.len(), 16);
     assert_eq!(records[0].request, REQUEST, "the likeliest comes first, though it is the oldest");
-    assert_eq!(ledger.hold_left(REQUEST, start + ms(1000)), Some(FIRST_HOLD));
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), Some(FIRST_HOLD));
 }
 
 /// Gateways and a leader, as the incident had them: a request that ends its upstreams after 80 ms
@@ -189,13 +192,17 @@
         let gateway = &mut gateways[arrival as usize % 8];
         let mut now = start + ms(arrival * 1000);
         for _ in 0..2 {
-            if leader.hold_left(REQUEST, now).is_some() || gateway.hold_left(REQUEST, now).is_some()
+            if leader.quarantine_left(REQUEST, now).is_some()
+                || gateway.quarantine_left(REQUEST, now).is_some()
             {
                 break;
             }
             let sent = now;
             now += ms(80);
-            gateway.note_run(REQUEST, EndedRun { upstream: ended.len() as u64, sent, ended: now });
+            gateway.record_run(
+                REQUEST,
+                TerminatedRun { upstream: ended.len() as u64, sent, ended: now },
+            );
             ended.push(now);
         }
         leader.merge(&gateway.due(now + ms(100)), now + ms(400));
@@ -240,7 +247,7 @@
         let wanted = if answered.is_some() { 6 } else { 3 };
         let burst = answered.is_none() && naive_burst(&runs);
         let expected = chain >= wanted || burst;
-        let held = ledger.hold_left(REQUEST, now).is_some();
+        let held = ledger.quarantine_left(REQUEST, now).is_some();
         prop_assert_eq!(held, expected, "chain {} burst {}", chain, burst);
     }
 }
@@ -306,5 +313,5 @@
         ended_run(3, 40_900, 41_030),
     ];
     ledger.merge(&[CrashRecord { request: REQUEST, runs, answered_ms: None }], now);
-    assert_eq!(ledger.hold_left(REQUEST, start + ms(41_030)), Some(expected));
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(41_030)), Some(expected));
 }
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -110,7 +110,7 @@
     let now = Instant::now();
     let budget = RetryBudget::new(now);
     let retries = (0..1000).filter(|_| {
-        budget.note_request();
+        budget.record_request();
         budget.take(now)
     });
     // Everything fails: a tenth of the requests, and what was saved.
@@ -160,7 +160,7 @@
     let mut naive = [0u32; 20];
     for _ in 0..800 {
         let choice = picker.pick(&candidates, &[], &mut rng).expect("there is room");
-        picker.note_start(&choice.key, &[], now);
+        picker.record_start(&choice.key, &[], now);
         naive[rand::RngExt::random_range(&mut rng, 0..20)] += 1;
     }
     let worst = keys.iter().map(|key| picker.in_flight(key)).max().expect("there are some");
@@ -183,8 +183,8 @@
         reported_at: now + Duration::from_secs(1),
     };
     let holder = candidate("holder", 0);
-    picker.note_start(&holder.key, &blocks, now);
-    picker.note_end(&holder.key, Some(5.0), now);
+    picker.record_start(&holder.key, &blocks, now);
+    picker.record_end(&holder.key, Some(5.0), now);
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let calm = [candidate("holder", 4), candidate("other", 3)];
     for _ in 0..20 {
@@ -201,9 +201,9 @@
     let holder = UpstreamKey { name: "h".to_owned(), epoch: Epoch(1) };
     let mut table = PrefixTable::new(10);
     table.learn(&[1, 2, 3], &holder);
-    assert!(table.take_removal(&holder, 1, &[3]));
+    assert!(table.apply_removal(&holder, 1, &[3]));
     assert_eq!(table.longest(&[1, 2, 3]).map(|(_, blocks)| blocks), Some(2));
-    assert!(!table.take_removal(&holder, 3, &[]), "a gap is noticed");
+    assert!(!table.apply_removal(&holder, 3, &[]), "a gap is noticed");
     assert!(table.longest(&[1, 2, 3]).is_none(), "what is doubtful is dropped");
 }
 
@@ -242,7 +242,7 @@
                 let uses = speaker.demand(now);
                 for (to, door) in doors.iter().enumerate() {
                     if from != to {
-                        door.observe_demand(&format!("d{from}"), &zone, 1, &uses, now);
+                        door.record_demand(&format!("d{from}"), &zone, 1, &uses, now);
                     }
                 }
             }
@@ -290,8 +290,8 @@
     let door = limiters(5, 1e6, now).remove(0);
     let _held = door.admit(&id, 100.0, now);
     let uses = |r| vec![hollowbarrow_schema::OrganisationUse { o: id.clone(), r }];
-    door.observe_demand("d1", &zone, 1, &uses(7.0), now);
-    door.observe_demand("d2", &zone, 1, &uses(9.0), now);
+    door.record_demand("d1", &zone, 1, &uses(7.0), now);
+    door.record_demand("d2", &zone, 1, &uses(9.0), now);
     let (daemons, sum) = door.zone_demand(&zone, &DaemonId::from("d2"), now);
     assert_eq!(daemons, 2);
     assert!((sum[0].r - 57.0).abs() < 0.5, "{sum:?}");
@@ -301,7 +301,7 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn enter_full_door() {
-    let queue = AdmissionQueue::new(QueueLimits { places: 20, waiting: 100 });
+    let queue = AdmissionQueue::new(QueueLimits { slots: 20, waiting: 100 });
     let (large, small) = (OrganisationId::from("large"), OrganisationId::from("small"));
     let far = Instant::now() + Duration::from_secs(100);
     let mut held = Vec::new();
@@ -335,7 +335,7 @@
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn enter_refusals() {
-    let queue = AdmissionQueue::new(QueueLimits { places: 1, waiting: 1 });
+    let queue = AdmissionQueue::new(QueueLimits { slots: 1, waiting: 1 });
     let id = OrganisationId::from("o");
     let soon = Instant::now() + Duration::from_secs(1);
     let held = queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("there is room");
@@ -373,8 +373,8 @@
     let mut ledger = AttemptLedger::new();
     let error = AttemptUpstreamError::NoAnswer;
     loop {
-        ledger.note_send();
-        ledger.note_outcome(error.ran());
+        ledger.record_send();
+        ledger.record_outcome(error.ran());
         if !ledger.may_repeat(&bounds, &error, &budget, now) {
             break;
         }
@@ -393,8 +393,8 @@
     let refused = AttemptUpstreamError::Refused { status: 503, retry_after: None };
     let mut ledger = AttemptLedger::new();
     for error in [&AttemptUpstreamError::NoAnswer, &refused] {
-        ledger.note_send();
-        ledger.note_outcome(error.ran());
+        ledger.record_send();
+        ledger.record_outcome(error.ran());
     }
     assert!(ledger.may_have_run());
     let bounds = bounds(repeatable, 2, now);
@@ -417,10 +417,10 @@
     let now = Instant::now();
     let mut ledger = AttemptLedger::new();
     for _ in 1..sends {
-        ledger.note_send();
-        ledger.note_outcome(ErrorRan::Unknown);
+        ledger.record_send();
+        ledger.record_outcome(ErrorRan::Unknown);
     }
-    ledger.note_send();
+    ledger.record_send();
     assert_eq!(ledger.is_last(&bounds(repeatable, max_runs, now)), expected);
 }
 
@@ -432,9 +432,9 @@
     while budget.take(now) {}
     let bounds = bounds(true, 3, now);
     let mut ledger = AttemptLedger::new();
-    ledger.note_send();
-    ledger.note_outcome(ErrorRan::Unknown);
-    ledger.note_paid();
+    ledger.record_send();
+    ledger.record_outcome(ErrorRan::Unknown);
+    ledger.record_budgeted();
     assert!(ledger.may_repeat(&bounds, &AttemptUpstreamError::NoAnswer, &budget, now));
     assert!(!ledger.may_repeat(&bounds, &AttemptUpstreamError::NoAnswer, &budget, now));
 }
--- a/crates/routing/tests/limit_table.rs
+++ b/crates/routing/tests/limit_table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::{LimitTable, LimitWord, WordSpan};
+use hollowbarrow_routing::{LimitNotice, LimitTable, NoticeInterval};
 use hollowbarrow_schema::RequestRate;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -10,9 +10,12 @@
 /// A word: when its request was sent, when the head came, in milliseconds, and the limit.
 type Told = (u64, u64, Option<u64>);
 
-fn to_word(start: Instant, (sent, came, limit): Told) -> LimitWord {
+fn to_word(start: Instant, (sent, came, limit): Told) -> LimitNotice {
     let at = |ms: u64| start + Duration::from_millis(ms);
-    LimitWord { limit: limit.map(RequestRate), span: WordSpan { sent: at(sent), came: at(came) } }
+    LimitNotice {
+        limit: limit.map(RequestRate),
+        span: NoticeInterval { sent: at(sent), came: at(came) },
+    }
 }
 
 #[rstest]
@@ -37,7 +40,7 @@
     let start = Instant::now();
     let mut table = LimitTable::new();
     for word in told {
-        table.note(&"a", to_word(start, *word));
+        table.record(&"a", to_word(start, *word));
     }
     assert_eq!(table.limit(&"a").map(|rate| *rate), expected);
     assert_eq!(table.limit(&"b"), None, "it has named nothing");
@@ -47,7 +50,7 @@
 fn note_tells_changes() {
     let start = Instant::now();
     let mut table = LimitTable::new();
-    let mut note = |word: Told| table.note(&"a", to_word(start, word));
+    let mut note = |word: Told| table.record(&"a", to_word(start, word));
     assert!(!note((0, 10, None)), "there was no limit");
     assert!(note((10, 20, Some(1800))));
     assert!(!note((20, 30, Some(1800))), "it is known");
@@ -61,11 +64,11 @@
 fn tidy_forgets_unknown() {
     let start = Instant::now();
     let mut table = LimitTable::new();
-    table.note(&"gone", to_word(start, (0, 10, Some(1))));
-    table.note(&"there", to_word(start, (0, 10, Some(1))));
-    table.note(&"plain", to_word(start, (0, 10, None)));
-    table.tidy(|upstream| *upstream != "gone");
+    table.record(&"gone", to_word(start, (0, 10, Some(1))));
+    table.record(&"there", to_word(start, (0, 10, Some(1))));
+    table.record(&"plain", to_word(start, (0, 10, None)));
+    table.prune(|upstream| *upstream != "gone");
     assert_eq!(table.len(), 1);
     assert!(!table.is_empty());
-    assert_eq!(table.words().next().map(|(upstream, _)| *upstream), Some("there"));
+    assert_eq!(table.notices().next().map(|(upstream, _)| *upstream), Some("there"));
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::{LimitCoordinator, LimitWord, UpstreamLimits, WordSpan};
+use hollowbarrow_routing::{LimitCoordinator, LimitNotice, NoticeInterval, UpstreamLimits};
 use hollowbarrow_schema::{DaemonId, PermitAsk, RequestRate, Term, UpstreamLimit};
 use rstest::rstest;
 use tokio::time::Instant;
@@ -16,9 +16,9 @@
 }
 
 /// A word in the answer to a request that was sent 10 ms before.
-fn word(start: Instant, came_ms: u64, limit: Option<RequestRate>) -> LimitWord {
-    let span = WordSpan { sent: after(start, came_ms - 10), came: after(start, came_ms) };
-    LimitWord { limit, span }
+fn word(start: Instant, came_ms: u64, limit: Option<RequestRate>) -> LimitNotice {
+    let span = NoticeInterval { sent: after(start, came_ms - 10), came: after(start, came_ms) };
+    LimitNotice { limit, span }
 }
 
 /// What a leader tells of a word whose answer came so long ago.
@@ -40,10 +40,10 @@
 fn own_word_counts() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    assert!(limits.note("a", word(start, 100, NAMED)));
+    assert!(limits.record_notice("a", word(start, 100, NAMED)));
     assert_eq!(limits.limit("a"), NAMED);
     assert!(limits.lacking(DAEMONS, after(start, 100)).contains("a"));
-    assert!(limits.note("a", word(start, 200, None)));
+    assert!(limits.record_notice("a", word(start, 200, None)));
     assert!(limits.lacking(DAEMONS, after(start, 200)).is_empty());
     assert!(limits.take("a", after(start, 200)).is_none(), "none is needed");
 }
@@ -64,10 +64,10 @@
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
     if let Some((ms, limit)) = own {
-        limits.note("a", word(start, ms - 20, NAMED));
-        limits.note("a", word(start, ms, limit));
+        limits.record_notice("a", word(start, ms - 20, NAMED));
+        limits.record_notice("a", word(start, ms, limit));
     }
-    limits.take_told(&told(came_ms, others), after(start, 1000));
+    limits.record_published(&told(came_ms, others), after(start, 1000));
     assert_eq!(limits.limit("a"), expected);
 }
 
@@ -76,8 +76,8 @@
 fn limit_of_others_ends_here() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.take_told(&told(50, NAMED), after(start, 1000));
-    assert!(limits.note("a", word(start, 1500, None)));
+    limits.record_published(&told(50, NAMED), after(start, 1000));
+    assert!(limits.record_notice("a", word(start, 1500, None)));
     assert_eq!(limits.limit("a"), None);
     let ask = limits.due(after(start, 1500)).expect("others do not know");
     assert_eq!(ask.limits, told(0, None));
@@ -90,8 +90,8 @@
 fn limit_of_former_leader(#[case] ms: u64, #[case] expected: Option<RequestRate>) {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.take_told(&told(50, NAMED), start);
-    limits.take_told(&[], after(start, ms));
+    limits.record_published(&told(50, NAMED), start);
+    limits.record_published(&[], after(start, ms));
     assert_eq!(limits.limit("a"), expected);
 }
 
@@ -99,12 +99,12 @@
 fn due_tells_what_leader_lacks() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.note("a", word(start, 100, NAMED));
+    limits.record_notice("a", word(start, 100, NAMED));
     let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
     assert_eq!(limits.due(after(start, 100)), Some(ask));
     assert_eq!(limits.due(after(start, 349)), None, "it may be on its way");
     assert!(limits.due(after(start, 350)).is_some(), "the leader does not tell it");
-    limits.take_told(&told(400, NAMED), after(start, 500));
+    limits.record_published(&told(400, NAMED), after(start, 500));
     assert_eq!(limits.due(after(start, 1000)), None);
 }
 
@@ -113,21 +113,21 @@
     let start = Instant::now();
     let mut coordinator = coordinator();
     let mut limits = UpstreamLimits::new(1);
-    limits.note("a", word(start, 100, NAMED));
-    assert!(limits.note_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
+    limits.record_notice("a", word(start, 100, NAMED));
+    assert!(limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
     let ask = limits.due(after(start, 100)).expect("it wants something");
-    let answer = coordinator.take_ask(&daemon("x"), &ask, after(start, 100));
+    let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
     assert_eq!(answer.changed, vec![("a".to_owned(), NAMED)]);
     let grant = &answer.grants[&daemon("x")];
     assert_eq!((grant.terms[0].issued, grant.terms[0].wait_ms), (0, Some(500)));
-    assert_eq!(coordinator.told(after(start, 100)).len(), 1);
-    limits.take_grant(grant, after(start, 100));
-    assert!(!limits.note_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
-    assert!(limits.note_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 590)));
+    assert_eq!(coordinator.published_limits(after(start, 100)).len(), 1);
+    limits.record_grant(grant, after(start, 100));
+    assert!(!limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
+    assert!(limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 590)));
     let ask = limits.due(after(start, 590)).expect("it wants something");
-    assert!(coordinator.take_ask(&daemon("x"), &ask, after(start, 590)).changed.is_empty());
+    assert!(coordinator.handle_ask(&daemon("x"), &ask, after(start, 590)).changed.is_empty());
     let grants = coordinator.issue(after(start, 600));
-    limits.take_grant(&grants[&daemon("x")], after(start, 600));
+    limits.record_grant(&grants[&daemon("x")], after(start, 600));
     assert!(limits.lacking(DAEMONS, after(start, 600)).is_empty());
     assert!(limits.take("a", after(start, 600)).is_some());
 }
@@ -138,11 +138,11 @@
     let start = Instant::now();
     let mut coordinator = coordinator();
     let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
-    coordinator.take_ask(&daemon("x"), &ask, start);
+    coordinator.handle_ask(&daemon("x"), &ask, start);
     coordinator.enter(Term(1));
-    assert_eq!(coordinator.told(start).len(), 1, "it is the same term");
+    assert_eq!(coordinator.published_limits(start).len(), 1, "it is the same term");
     coordinator.enter(Term(2));
-    assert!(coordinator.told(start).is_empty());
+    assert!(coordinator.published_limits(start).is_empty());
 }
 
 /// The end of a limit is told on for a while.
@@ -153,11 +153,11 @@
     let start = Instant::now();
     let mut coordinator = coordinator();
     let ask = |limit| PermitAsk { limits: told(0, limit), needs: Vec::new() };
-    coordinator.take_ask(&daemon("x"), &ask(NAMED), start);
+    coordinator.handle_ask(&daemon("x"), &ask(NAMED), start);
     // Later by more than words may be late.
-    let answer = coordinator.take_ask(&daemon("y"), &ask(None), after(start, 500));
+    let answer = coordinator.handle_ask(&daemon("y"), &ask(None), after(start, 500));
     assert_eq!(answer.changed, vec![("a".to_owned(), None)]);
-    assert_eq!(coordinator.told(after(start, ms)).len(), expected);
+    assert_eq!(coordinator.published_limits(after(start, ms)).len(), expected);
 }
 
 #[rstest]
@@ -165,9 +165,9 @@
     let start = Instant::now();
     let mut coordinator = coordinator();
     let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
-    coordinator.take_ask(&daemon("x"), &ask, start);
-    coordinator.tidy(|upstream| upstream != "a");
-    assert!(coordinator.told(start).is_empty());
+    coordinator.handle_ask(&daemon("x"), &ask, start);
+    coordinator.prune(|upstream| upstream != "a");
+    assert!(coordinator.published_limits(start).is_empty());
 }
 
 /// All daemons are told at once of what changes, and of the rest about once a second.
@@ -176,13 +176,13 @@
     let start = Instant::now();
     let mut coordinator = coordinator();
     let ask = |limit| PermitAsk { limits: told(0, limit), needs: Vec::new() };
-    coordinator.take_ask(&daemon("x"), &ask(NAMED), start);
-    assert_eq!(coordinator.told_due(start).len(), 1);
-    coordinator.take_ask(&daemon("y"), &ask(NAMED), after(start, 100));
-    assert!(coordinator.told_due(after(start, 899)).is_empty());
-    assert_eq!(coordinator.told_due(after(start, 900)).len(), 1);
-    coordinator.take_ask(&daemon("x"), &ask(None), after(start, 1000));
-    assert_eq!(coordinator.told_due(after(start, 1000)).len(), 1, "it has changed");
+    coordinator.handle_ask(&daemon("x"), &ask(NAMED), start);
+    assert_eq!(coordinator.due_limits(start).len(), 1);
+    coordinator.handle_ask(&daemon("y"), &ask(NAMED), after(start, 100));
+    assert!(coordinator.due_limits(after(start, 899)).is_empty());
+    assert_eq!(coordinator.due_limits(after(start, 900)).len(), 1);
+    coordinator.handle_ask(&daemon("x"), &ask(None), after(start, 1000));
+    assert_eq!(coordinator.due_limits(after(start, 1000)).len(), 1, "it has changed");
 }
 
 /// What the leader said of the next permit under a lower limit does not hold for a higher one.
@@ -192,11 +192,11 @@
     let upstreams = ["a".to_owned()];
     let mut coordinator = coordinator();
     let mut limits = UpstreamLimits::new(1);
-    limits.note("a", word(start, 100, Some(RequestRate(0))));
-    assert!(limits.note_need_of_any(&upstreams, PATIENCE, false, after(start, 100)));
+    limits.record_notice("a", word(start, 100, Some(RequestRate(0))));
+    assert!(limits.record_need_of_any(&upstreams, PATIENCE, false, after(start, 100)));
     let ask = limits.due(after(start, 100)).expect("it wants something");
-    let answer = coordinator.take_ask(&daemon("x"), &ask, after(start, 100));
-    limits.take_grant(&answer.grants[&daemon("x")], after(start, 100));
-    assert!(limits.note("a", word(start, 1000, Some(RequestRate(50_000)))));
-    assert!(limits.note_need_of_any(&upstreams, PATIENCE, false, after(start, 1000)));
+    let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
+    limits.record_grant(&answer.grants[&daemon("x")], after(start, 100));
+    assert!(limits.record_notice("a", word(start, 1000, Some(RequestRate(50_000)))));
+    assert!(limits.record_need_of_any(&upstreams, PATIENCE, false, after(start, 1000)));
 }
--- a/crates/routing/tests/permits.rs
+++ b/crates/routing/tests/permits.rs
@@ -43,7 +43,7 @@
 fn issue_by_rate(#[case] ms: u64, #[case] expected: u32) {
     let start = Instant::now();
     let mut issuer = issuer(start);
-    issuer.take_need(&daemon("x"), &need(5, PATIENCE, 0), after(start, ms));
+    issuer.record_need(&daemon("x"), &need(5, PATIENCE, 0), after(start, ms));
     let issued: u32 = issuer.issue(after(start, ms)).iter().map(|issued| issued.count).sum();
     assert_eq!(issued, expected);
 }
@@ -54,8 +54,8 @@
     let start = Instant::now();
     let now = after(start, 500);
     let mut issuer = issuer(start);
-    issuer.take_need(&daemon("late"), &need(1, PERMIT_LIFETIME, 0), now);
-    issuer.take_need(&daemon("soon"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("late"), &need(1, PERMIT_LIFETIME, 0), now);
+    issuer.record_need(&daemon("soon"), &need(1, PATIENCE, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("soon", 1)]);
     assert_eq!(issuer.wait("a"), Some(Duration::from_millis(500)));
 }
@@ -64,7 +64,7 @@
 fn issue_nothing_too_late() {
     let start = Instant::now();
     let mut issuer = issuer(start);
-    issuer.take_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 400));
+    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 400));
     assert_eq!(issuer.issue(after(start, 500)), Vec::new(), "the request has gone");
 }
 
@@ -73,10 +73,10 @@
     let start = Instant::now();
     let now = after(start, 500);
     let mut issuer = issuer(start);
-    issuer.take_need(&daemon("x"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("x", 1)]);
-    issuer.take_need(&daemon("x"), &need(0, Duration::ZERO, 1), now);
-    issuer.take_need(&daemon("y"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("x"), &need(0, Duration::ZERO, 1), now);
+    issuer.record_need(&daemon("y"), &need(1, PATIENCE, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("y", 1)]);
 }
 
@@ -88,7 +88,7 @@
     let mut issuer = issuer(start);
     issuer.set_limit("a", limit, start);
     for (ms, expected) in [(first_ms - 1, 0), (first_ms, 1)] {
-        issuer.take_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, ms));
+        issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, ms));
         assert_eq!(issuer.issue(after(start, ms)).len(), expected, "at {ms}");
     }
 }
@@ -98,13 +98,13 @@
     let start = Instant::now();
     let mut issuer = issuer(start);
     issuer.set_limit("a", None, start);
-    issuer.take_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 500));
+    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 500));
     assert_eq!(issuer.issue(after(start, 500)), Vec::new());
     assert_eq!(issuer.wait("a"), None);
 }
 
 fn holds(holder: &mut PermitHolder, now: Instant) -> bool {
-    holder.holds("a", LIMIT, DAEMONS, now)
+    holder.has_permit("a", LIMIT, DAEMONS, now)
 }
 
 #[rstest]
@@ -112,10 +112,10 @@
     let now = Instant::now();
     let mut holder = PermitHolder::new(1);
     assert!(!holds(&mut holder, now));
-    assert!(holder.note_need("a", PATIENCE, now), "it may come");
+    assert!(holder.record_need("a", PATIENCE, now), "it may come");
     assert_eq!(holder.due(now), vec![need(1, PATIENCE, 0)]);
     assert_eq!(holder.due(now), Vec::new(), "the issuer knows");
-    holder.take_issued("a", 1, now);
+    holder.record_issued("a", 1, now);
     assert!(holds(&mut holder, now));
     let permit = holder.take("a", now).expect("one was issued");
     assert!(holder.take("a", now).is_none(), "it is used");
@@ -130,9 +130,9 @@
 fn holder_returns_unused(#[case] ms: u64, #[case] held: bool, #[case] returned: u32) {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.note_need("a", PATIENCE, start);
+    holder.record_need("a", PATIENCE, start);
     holder.due(start);
-    holder.take_issued("a", 1, start);
+    holder.record_issued("a", 1, start);
     assert_eq!(holds(&mut holder, after(start, ms)), held);
     let told: u32 = holder.due(after(start, ms)).iter().map(|need| need.returned).sum();
     assert_eq!(told, returned);
@@ -142,9 +142,9 @@
 fn holder_returns_what_comes_too_late() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.note_need("a", PATIENCE, start);
+    holder.record_need("a", PATIENCE, start);
     holder.due(start);
-    holder.take_issued("a", 1, after(start, 100));
+    holder.record_issued("a", 1, after(start, 100));
     assert!(!holds(&mut holder, after(start, 100)));
     assert_eq!(holder.due(after(start, 100)), vec![need(0, Duration::ZERO, 1)]);
 }
@@ -154,12 +154,12 @@
 fn holder_needs_what_may_come() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.note_need("a", PATIENCE, start);
-    holder.take_wait("a", Duration::from_millis(400), start);
+    holder.record_need("a", PATIENCE, start);
+    holder.record_wait("a", Duration::from_millis(400), start);
     assert_eq!(holder.count_needs("a", start), 0, "it cannot be fulfilled");
-    assert!(!holder.note_need("a", PATIENCE, after(start, 299)));
+    assert!(!holder.record_need("a", PATIENCE, after(start, 299)));
     assert_eq!(holder.wait("a", after(start, 299)), Duration::from_millis(101));
-    assert!(holder.note_need("a", PATIENCE, after(start, 300)));
+    assert!(holder.record_need("a", PATIENCE, after(start, 300)));
 }
 
 /// What was issued under a higher limit is not all used under a lower one.
@@ -167,9 +167,9 @@
 fn holder_keeps_one_after_fall() {
     let now = Instant::now();
     let mut holder = PermitHolder::new(1);
-    (0..3).for_each(|_| assert!(holder.note_need("a", PATIENCE, now)));
-    holder.take_issued("a", 3, now);
-    holder.note_fall("a");
+    (0..3).for_each(|_| assert!(holder.record_need("a", PATIENCE, now)));
+    holder.record_issued("a", 3, now);
+    holder.record_limit_decrease("a");
     assert!(holder.take("a", now).is_some());
     assert!(holder.take("a", now).is_none());
 }
@@ -191,11 +191,11 @@
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
     assert!(!holds(&mut holder, start));
-    holder.note_need("a", PATIENCE, start);
+    holder.record_need("a", PATIENCE, start);
     holder.due(start);
     let part = self_issued_part(&mut holder, after(start, 600)) * f64::from(DAEMONS);
     assert!((0.3..0.5).contains(&part), "{part}");
     let end = after(start, 5_000_000);
-    holder.take_wait("a", Duration::ZERO, end);
+    holder.record_wait("a", Duration::ZERO, end);
     assert_eq!(self_issued_part(&mut holder, end), 0.0, "somebody issues");
 }
--- a/crates/routing/tests/permits_simulation.rs
+++ b/crates/routing/tests/permits_simulation.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use hollowbarrow_routing::{LimitCoordinator, LimitWord, UpstreamLimits, WordSpan};
+use hollowbarrow_routing::{LimitCoordinator, LimitNotice, NoticeInterval, UpstreamLimits};
 use hollowbarrow_schema::{DaemonId, PermitAsk, PermitGrant, RequestRate, Term, UpstreamLimit};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -187,25 +187,25 @@
             }
             Event::Answer { daemon, upstream, sent_ms } => {
                 let limit = Some(RequestRate((self.load.limit * 1000.0) as u64));
-                let span = WordSpan { sent: self.at(sent_ms), came: now };
-                self.limits[daemon].note(name_of(upstream), LimitWord { limit, span });
+                let span = NoticeInterval { sent: self.at(sent_ms), came: now };
+                self.limits[daemon].record_notice(name_of(upstream), LimitNotice { limit, span });
                 self.tell(daemon, ms);
             }
             Event::Ask { daemon, ask } => {
                 if self.leads {
-                    let answer = self.coordinator.take_ask(&id_of(daemon), &ask, now);
+                    let answer = self.coordinator.handle_ask(&id_of(daemon), &ask, now);
                     self.send_grants(answer.grants.into_iter(), ms);
                 }
             }
             Event::Grant { daemon, grant } => {
-                self.limits[daemon].take_grant(&grant, now);
+                self.limits[daemon].record_grant(&grant, now);
                 while !self.waiting[daemon].is_empty() && self.try_send(daemon, ms) {
                     self.waiting[daemon].pop_front();
                     self.limits[daemon].end_wait();
                 }
                 self.need_again(daemon, ms);
             }
-            Event::View { daemon, limits } => self.limits[daemon].take_told(&limits, now),
+            Event::View { daemon, limits } => self.limits[daemon].record_published(&limits, now),
             Event::Step { number } => self.step(number, ms),
             Event::RestartDaemon => {
                 let daemon = self.rng.random_range(0..self.load.daemons);
@@ -234,7 +234,7 @@
             self.send_grants(grants.into_iter(), ms);
         }
         if self.leads && number.is_multiple_of(STEPS_OF_VIEW) {
-            let limits = self.coordinator.told_due(now);
+            let limits = self.coordinator.due_limits(now);
             let daemons = (0..self.load.daemons).filter(|daemon| self.hears(*daemon));
             for daemon in daemons.collect::<Vec<usize>>() {
                 self.send(ms, Event::View { daemon, limits: limits.clone() });
@@ -299,7 +299,7 @@
     fn wait_for_permit(&mut self, daemon: usize, ms: u64) {
         let now = self.at(ms);
         let patience = Duration::from_millis(PATIENCE_MS);
-        if !self.limits[daemon].note_need_of_any(&names(), patience, false, now) {
+        if !self.limits[daemon].record_need_of_any(&names(), patience, false, now) {
             self.refused += 1;
             return;
         }
@@ -320,7 +320,7 @@
         let now = self.at(ms);
         for end in self.waiting[daemon].clone() {
             let patience = Duration::from_millis(end.saturating_sub(ms));
-            if !self.limits[daemon].note_need_of_any(&names(), patience, true, now) {
+            if !self.limits[daemon].record_need_of_any(&names(), patience, true, now) {
                 self.refuse_first(daemon);
             }
         }
--- a/crates/routing/tests/trials.rs
+++ b/crates/routing/tests/probes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_routing::may_try;
+use hollowbarrow_routing::may_probe;
 use hollowbarrow_schema::RequestDigest;
 use rstest::rstest;
 
@@ -13,7 +13,7 @@
     let windows = 0..2000;
     let count = |window| {
         (0..u64::from(daemons))
-            .filter(|daemon| may_try(*daemon * 7919, REQUEST, window, daemons, over))
+            .filter(|daemon| may_probe(*daemon * 7919, REQUEST, window, daemons, over))
             .count()
     };
     windows.map(count).collect()
