--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -120,7 +120,7 @@
     let (checked, held, later) = {
         let fleet = core.fleet();
         let table = fleet.table();
-        let newest = table.newest_of(worker.name()).map(|entry| entry.report.id.clone());
+        let newest = table.newest_instance(worker.name()).map(|entry| entry.report.id.clone());
         let later = newest.is_some_and(|newest| newest.incarnation() > worker.incarnation());
         (check_birth(worker, table), table.get(worker).is_some(), later)
     };
--- a/crates/controller/src/delivery.rs
+++ b/crates/controller/src/delivery.rs
@@ -112,7 +112,7 @@
     pub fn lag(&self, commits: &VersionTimes, now: Instant) -> Duration {
         // Counted from the oldest commit that it lacks. From the newest one, each commit would
         // begin the time anew, and changes every 150 ms kept a zone's gateways behind for 4.3 s.
-        let lacking = commits.lacking_since(self.held);
+        let lacking = commits.behind_since(self.held);
         let since = lacking.map(|committed| committed.max(self.since));
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -104,7 +104,7 @@
     pub(crate) fn count_workers(&self) -> WorkerCounts {
         let mut counts = WorkerCounts::default();
         for entry in self.table.iter() {
-            let count = match (entry.is_there(), entry.report.leaving) {
+            let count = match (entry.is_available(), entry.report.leaving) {
                 (false, _) => &mut counts.gone,
                 (_, true) => &mut counts.leaving,
                 _ => &mut counts.ready,
@@ -124,7 +124,7 @@
         now: Instant,
     ) -> MergeOutcome {
         let (id, seq) = (report.id.clone(), report.seq);
-        let outcome = self.table.merge_own(report, heartbeat * SILENT_BEATS, now);
+        let outcome = self.table.merge_direct(report, heartbeat * SILENT_BEATS, now);
         if outcome == MergeOutcome::Renewed {
             self.beats.insert(id, seq);
         }
@@ -171,7 +171,7 @@
 
     /// Notes that what is new in the table goes out.
     pub(crate) fn note_told(&mut self, now: Instant) {
-        self.digests.note(self.table.digest(), now);
+        self.digests.note(self.table.table_hash(), now);
     }
 
     /// Daemons to send the whole table to now.
@@ -184,7 +184,7 @@
         self.served |= !hello.loads.is_empty();
         self.crashes.merge(&hello.crashes, now);
         let near = hello.zone == self.zone;
-        let own = self.table.digest();
+        let own = self.table.table_hash();
         let covered = self.digests.covers(hello.workers, own, now);
         let former = self.gateways.get(from).map_or(0, |gateway| gateway.mismatches);
         let mismatches = if covered { 0 } else { former + 1 };
@@ -248,7 +248,7 @@
         }
         self.served |= hello.served;
         self.crashes.merge(&hello.crashes, now);
-        let own = self.table.digest();
+        let own = self.table.table_hash();
         let covered = self.digests.covers(hello.workers, own, now);
         let former = self.controllers.get(from);
         let mismatches = if covered { 0 } else { former.map_or(0, |held| held.mismatches) + 1 };
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -6,7 +6,7 @@
 
 use hollowbarrow_fleet::replicas::WorkerState;
 use hollowbarrow_fleet::{
-    LeaderTimes, OrderTicket, ReplicaController, ReplicaTiming, TermState, WorkerStanding,
+    LeaderTimes, OrderTicket, ReplicaController, ReplicaTiming, TermState, WorkerStatus,
 };
 use hollowbarrow_log::LogView;
 use hollowbarrow_schema::{
@@ -114,7 +114,7 @@
                 ticket.order.name().to_text()
             );
             if let Some(controller) = held.and_then(|held| held.replicas.get_mut(&service)) {
-                controller.note_outcome(&ticket, outcome, now);
+                controller.record_outcome(&ticket, outcome, now);
             }
         }
     }
@@ -146,7 +146,7 @@
         replicas: BTreeMap::new(),
         times: LeaderTimes {
             // At the first start no leader was there before that could have ordered anything.
-            began: if first { core.started } else { now },
+            term_start: if first { core.started } else { now },
             settled: now + settle,
             loads_from: if first { now } else { now + window },
         },
@@ -173,7 +173,7 @@
     let ended = find_ended(fleet.table(), heartbeat);
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat, now };
     let warming_up = is_first_start(core, &fleet);
-    let mut standings: HashMap<WorkerId, WorkerStanding> = HashMap::new();
+    let mut standings: HashMap<WorkerId, WorkerStatus> = HashMap::new();
     let mut probes = Vec::new();
     for entry in fleet.table().iter() {
         let worker = &entry.report.id;
@@ -191,7 +191,7 @@
     }
     let mut withheld: Vec<WorkerId> = standings
         .iter()
-        .filter(|(_, standing)| **standing != WorkerStanding::Usable)
+        .filter(|(_, standing)| **standing != WorkerStatus::Usable)
         .map(|(worker, _)| worker.clone())
         .collect();
     for service in &services {
@@ -206,7 +206,7 @@
                     confirmed: entry.confirmed,
                     active: sum.active,
                     waiting_ms: sum.waiting_ms,
-                    standing: standings[&entry.report.id],
+                    status: standings[&entry.report.id],
                 }
             })
             .collect();
@@ -275,9 +275,9 @@
 
 fn timing_of(core: &ControllerCore) -> ReplicaTiming {
     ReplicaTiming {
-        repeat: ORDER_REPEAT,
-        close: CLOSE_TIME,
-        late: LATE_ORDER_TIME,
+        order_retry: ORDER_REPEAT,
+        close_timeout: CLOSE_TIME,
+        max_order_delay: LATE_ORDER_TIME,
         load_window: Duration::from_secs(core.settings.load_window_s.into()),
     }
 }
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -61,7 +61,7 @@
     let mut fleet = core.fleet();
     ControllerHello {
         zone: core.settings.zone.clone(),
-        workers: fleet.table().digest(),
+        workers: fleet.table().table_hash(),
         beats: if with_beats { fleet.take_beats() } else { Vec::new() },
         lost_disk,
         gateways: fleet.count_homed(),
@@ -100,7 +100,7 @@
         core.applied.notified().await;
         let now = Instant::now();
         let version = core.log.read(DeploymentState::version);
-        core.commits().note(version, now);
+        core.commits().record(version, now);
         log::info!("event=configuration_committed version={version}");
         if core.tell_basis(now) != TellBasis::Complete {
             // What this controller holds may be older than what is in force.
@@ -207,7 +207,7 @@
 pub(crate) fn take_report(core: &ControllerCore, report: WorkerReport) {
     let id = report.id.clone();
     let mut fleet = core.fleet();
-    let former = fleet.table().newest_of(id.name()).map(|entry| entry.report.id.clone());
+    let former = fleet.table().newest_instance(id.name()).map(|entry| entry.report.id.clone());
     if fleet.take_report(report, core.heartbeat(), Instant::now()) != MergeOutcome::Changed {
         return;
     }
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -30,8 +30,8 @@
         limits: CallerLimits {
             header_bytes: 1,
             body_bytes: 1,
-            header_time: Duration::from_secs(1),
-            idle_time: Duration::from_secs(1),
+            header_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(1),
         },
         organisations: None,
     }
--- a/crates/fleet/src/deployment.rs
+++ b/crates/fleet/src/deployment.rs
@@ -102,9 +102,9 @@
     /// Largest body of a request in bytes.
     pub body_bytes: usize,
     /// Longest time to send a head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Longest time that a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A whole configuration.
@@ -143,7 +143,7 @@
     },
     /// Two routes share a host and prefix.
     #[error("routes.{second}: {host}{prefix} is already the place of {first}")]
-    SamePlace {
+    DuplicateRoute {
         /// Route that came first.
         first: String,
         /// Route that came second.
@@ -155,13 +155,13 @@
     },
     /// The weights of a route add up to nothing.
     #[error("routes.{route}.weights: they add up to 0")]
-    NoWeight {
+    ZeroWeight {
         /// Name of the route.
         route: String,
     },
     /// A route gives its requests no time.
     #[error("routes.{route}.timeout: it is 0")]
-    NoTimeout {
+    ZeroTimeout {
         /// Name of the route.
         route: String,
     },
@@ -175,7 +175,7 @@
     },
     /// Two services share a name.
     #[error("services.{name}: the name stands twice")]
-    SameService {
+    DuplicateService {
         /// The name.
         name: String,
     },
@@ -189,7 +189,7 @@
     },
     /// A model has no members.
     #[error("services.{service}.models.{model}: its size is 0")]
-    NoMembers {
+    ZeroSize {
         /// Name of the service.
         service: String,
         /// Name of the model.
@@ -216,11 +216,11 @@
         let mut names = BTreeSet::new();
         for service in &self.services {
             if !names.insert(&service.name) {
-                faults.push(DeploymentFault::SameService { name: service.name.to_string() });
+                faults.push(DeploymentFault::DuplicateService { name: service.name.to_string() });
             }
             let models = service.engine.iter().flat_map(|engine| &engine.models);
             for model in models.filter(|model| model.size == 0) {
-                faults.push(DeploymentFault::NoMembers {
+                faults.push(DeploymentFault::ZeroSize {
                     service: service.name.to_string(),
                     model: model.name.to_string(),
                 });
@@ -239,7 +239,7 @@
                 faults.push(DeploymentFault::UnknownService { route: name(), service });
             }
             if let Some(first) = places.insert((&route.host, &route.prefix), &route.name) {
-                faults.push(DeploymentFault::SamePlace {
+                faults.push(DeploymentFault::DuplicateRoute {
                     first: first.to_owned(),
                     second: name(),
                     host: route.host.clone(),
@@ -247,10 +247,10 @@
                 });
             }
             if route.split.iter().all(|(_, weight)| *weight == 0) {
-                faults.push(DeploymentFault::NoWeight { route: name() });
+                faults.push(DeploymentFault::ZeroWeight { route: name() });
             }
             if route.timeout.is_zero() {
-                faults.push(DeploymentFault::NoTimeout { route: name() });
+                faults.push(DeploymentFault::ZeroTimeout { route: name() });
             }
             if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
                 let prefix = route.prefix.clone();
--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -14,11 +14,11 @@
     /// Share of the service's work.
     pub share: f64,
     /// Factor on all times of the engine.
-    pub pace: f64,
+    pub time_factor: f64,
     /// Time to load the weights from the store.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Time to load the weights from the worker's own host.
-    pub warm: Duration,
+    pub warm_load_time: Duration,
 }
 
 /// How a service's model engines behave.
@@ -35,7 +35,7 @@
     /// Additional time of a step for each request that writes, in milliseconds.
     pub step_per_request_ms: f64,
     /// Prompt tokens read in a second.
-    pub read_per_second: f64,
+    pub prefill_per_second: f64,
     /// Steps in one pass while a request writes.
     pub stride: u32,
     /// Loads from the weight store that may begin in a second.
@@ -43,27 +43,27 @@
     /// Loads that run at once without slowing each other.
     pub loads_at_once: usize,
     /// Factor on all times of a replica whose members are in several fabric domains.
-    pub far: f64,
+    pub cross_domain_factor: f64,
     /// Time from the order to open until a replica serves.
-    pub form: Duration,
+    pub open_delay: Duration,
     /// Mean tokens of an answer; 0 where it is not known.
-    pub usual_answer: u32,
+    pub mean_answer_tokens: u32,
 }
 
 impl Engine {
     /// Time of one token of each of so many requests, in milliseconds.
     pub fn step_ms(&self, model: &ModelSpec, active: f64) -> f64 {
         let step = self.step.as_secs_f64() * 1000.0;
-        (step + self.step_per_request_ms * active) * model.pace
+        (step + self.step_per_request_ms * active) * model.time_factor
     }
 
     /// Time of one pass of a replica that works on so many requests, in milliseconds.
-    pub fn pass_ms(&self, model: &ModelSpec, active: f64) -> f64 {
+    pub fn iteration_ms(&self, model: &ModelSpec, active: f64) -> f64 {
         self.step_ms(model, active) * f64::from(self.stride.max(1))
     }
 
     /// Time to read a prompt, in milliseconds.
-    pub fn reading_ms(&self, model: &ModelSpec, tokens: u32) -> f64 {
-        f64::from(tokens) * 1000.0 / self.read_per_second.max(1.0) * model.pace
+    pub fn prefill_ms(&self, model: &ModelSpec, tokens: u32) -> f64 {
+        f64::from(tokens) * 1000.0 / self.prefill_per_second.max(1.0) * model.time_factor
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -33,7 +33,7 @@
 };
 pub use replicas::{
     LeaderTimes, OrderOutcome, OrderTicket, ReplicaController, ReplicaTiming, WorkerOrder,
-    WorkerStanding,
+    WorkerStatus,
 };
 pub use routes::RouteTable;
 pub use term::TermState;
--- a/crates/fleet/src/replicas/adopt.rs
+++ b/crates/fleet/src/replicas/adopt.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::names::{ReplicaKind, ReplicaName};
-use super::{ReplicaController, ReplicaPhase, StepView, WorkerStanding};
+use super::{ReplicaController, ReplicaPhase, StepView, WorkerStatus};
 use hollowbarrow_schema::{Epoch, MembershipState, WorkerId, WorkerReport};
 
 /// Members of one replica that this controller has not formed, by rank.
@@ -40,7 +40,7 @@
             let known = self.replicas.contains_key(&name.epoch)
                 || self.vacated.contains(&name.epoch)
                 || self.departed.get(&state.report.id) == Some(&name.epoch)
-                || state.standing != WorkerStanding::Usable;
+                || state.status != WorkerStatus::Usable;
             if known {
                 continue;
             }
--- a/crates/fleet/src/replicas/demand.rs
+++ b/crates/fleet/src/replicas/demand.rs
@@ -42,7 +42,7 @@
     }
 
     /// Averages what the uses are now in.
-    fn note(&mut self, uses: Vec<(ModelName, f64)>, now: Instant) {
+    fn record(&mut self, uses: Vec<(ModelName, f64)>, now: Instant) {
         let elapsed = now.saturating_duration_since(self.at);
         self.at = now;
         let weight = 1.0 - (-elapsed.div_duration_f64(USE_TIME)).exp();
@@ -55,10 +55,10 @@
 
 impl ReplicaController {
     /// Takes in how busy the replicas of each model are now.
-    pub(super) fn note_uses(&mut self, view: &StepView<'_>) {
+    pub(super) fn record_uses(&mut self, view: &StepView<'_>) {
         let models = view.engine.models.iter();
         let uses = models.map(|model| (model.name.clone(), self.use_of(model, view))).collect();
-        self.uses.note(uses, view.now);
+        self.uses.record(uses, view.now);
     }
 
     /// How busy the replicas of a model are: the part of their places that is taken, and the part
@@ -77,7 +77,7 @@
         let count = heads.len() as f64;
         let active = heads.iter().map(|head| f64::from(head.active)).sum::<f64>() / count;
         let waiting = heads.iter().map(|head| f64::from(head.waiting_ms)).sum::<f64>() / count;
-        let pass = view.engine.pass_ms(model, active).max(f64::MIN_POSITIVE);
+        let pass = view.engine.iteration_ms(model, active).max(f64::MIN_POSITIVE);
         active / f64::from(view.engine.slots.max(1)) + waiting / pass
     }
 }
--- a/crates/fleet/src/replicas/life.rs
+++ b/crates/fleet/src/replicas/lifecycle.rs
@@ -6,10 +6,10 @@
 
 use super::names::{ReplicaKind, ReplicaName};
 use super::orders::{OrderTicket, WorkerOrder};
-use super::{Replica, ReplicaController, ReplicaPhase, StepView, WorkerStanding};
+use super::{Replica, ReplicaController, ReplicaPhase, StepView, WorkerStatus};
 
 /// What became of a replica in a step.
-enum LifeStep {
+enum Transition {
     Stay,
     Move(ReplicaPhase),
     Release(&'static str),
@@ -24,10 +24,10 @@
         for epoch in epochs {
             let replica = &self.replicas[&epoch];
             match self.next_phase(replica, view) {
-                LifeStep::Stay => {}
-                LifeStep::Move(phase) => self.enter(epoch, phase),
-                LifeStep::Release(reason) => self.release(epoch, reason),
-                LifeStep::HeadLeft => {
+                Transition::Stay => {}
+                Transition::Move(phase) => self.enter(epoch, phase),
+                Transition::Release(reason) => self.release(epoch, reason),
+                Transition::HeadLeft => {
                     if let Some(replica) = self.replicas.get_mut(&epoch) {
                         replica.head_left = true;
                     }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn next_phase(&self, replica: &Replica, view: &StepView<'_>) -> LifeStep {
+    fn next_phase(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
         match replica.phase {
             ReplicaPhase::Forming => self.next_of_forming(replica, view),
             ReplicaPhase::Opening => next_of_opening(replica, view),
@@ -100,21 +100,21 @@
                 let ended = head_state(replica, view) != Some(MembershipState::Closing)
                     && head_state(replica, view) != Some(MembershipState::Open);
                 if ended || view.now >= until {
-                    LifeStep::Move(ReplicaPhase::Leaving)
+                    Transition::Move(ReplicaPhase::Leaving)
                 } else {
-                    LifeStep::Stay
+                    Transition::Stay
                 }
             }
             ReplicaPhase::Leaving => next_of_leaving(replica, view),
         }
     }
 
-    fn next_of_forming(&self, replica: &Replica, view: &StepView<'_>) -> LifeStep {
-        if worst_standing(replica, view) != WorkerStanding::Usable {
+    fn next_of_forming(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
+        if worst_standing(replica, view) != WorkerStatus::Usable {
             return if replica.opened {
-                LifeStep::Move(ReplicaPhase::Leaving)
+                Transition::Move(ReplicaPhase::Leaving)
             } else {
-                LifeStep::Release("a member was lost before the replica was opened")
+                Transition::Release("a member was lost before the replica was opened")
             };
         }
         let ready = |member: &WorkerId| {
@@ -122,24 +122,24 @@
             matches!(state, Some(MembershipState::Ready | MembershipState::Open))
         };
         if replica.members.iter().all(ready) {
-            LifeStep::Move(ReplicaPhase::Opening)
+            Transition::Move(ReplicaPhase::Opening)
         } else {
-            LifeStep::Stay
+            Transition::Stay
         }
     }
 
-    fn next_of_serving(&self, replica: &Replica, view: &StepView<'_>) -> LifeStep {
+    fn next_of_serving(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
         let own = |member: &WorkerId| {
             view.report(member).is_some_and(|report| replica.state_in(report).is_some())
         };
         let serves = head_state(replica, view) == Some(MembershipState::Open);
         match worst_standing(replica, view) {
-            _ if !serves => LifeStep::Move(ReplicaPhase::Leaving),
-            WorkerStanding::Usable if replica.members.iter().all(own) => LifeStep::Stay,
-            WorkerStanding::Leaving => {
-                LifeStep::Move(ReplicaPhase::Closing { until: view.now + self.timing.close })
-            }
-            _ => LifeStep::Move(ReplicaPhase::Leaving),
+            _ if !serves => Transition::Move(ReplicaPhase::Leaving),
+            WorkerStatus::Usable if replica.members.iter().all(own) => Transition::Stay,
+            WorkerStatus::Leaving => Transition::Move(ReplicaPhase::Closing {
+                until: view.now + self.timing.close_timeout,
+            }),
+            _ => Transition::Move(ReplicaPhase::Leaving),
         }
     }
 
@@ -254,7 +254,7 @@
     ) -> bool {
         let engine = view.engine;
         let spec = engine.models.iter().find(|spec| spec.name == *model);
-        let Some(load) = spec.map(|spec| spec.load) else { return false };
+        let Some(load) = spec.map(|spec| spec.load_time) else { return false };
         let may_begin = view.now >= self.times.loads_from;
         warming_up
             || (may_begin
@@ -278,26 +278,26 @@
     }
 }
 
-fn next_of_opening(replica: &Replica, view: &StepView<'_>) -> LifeStep {
-    if worst_standing(replica, view) != WorkerStanding::Usable {
-        return LifeStep::Move(ReplicaPhase::Leaving);
+fn next_of_opening(replica: &Replica, view: &StepView<'_>) -> Transition {
+    if worst_standing(replica, view) != WorkerStatus::Usable {
+        return Transition::Move(ReplicaPhase::Leaving);
     }
     match head_state(replica, view) {
-        Some(MembershipState::Open) => LifeStep::Move(ReplicaPhase::Serving),
-        Some(MembershipState::Ready | MembershipState::Joining) => LifeStep::Stay,
-        _ => LifeStep::Move(ReplicaPhase::Leaving),
+        Some(MembershipState::Open) => Transition::Move(ReplicaPhase::Serving),
+        Some(MembershipState::Ready | MembershipState::Joining) => Transition::Stay,
+        _ => Transition::Move(ReplicaPhase::Leaving),
     }
 }
 
-fn next_of_leaving(replica: &Replica, view: &StepView<'_>) -> LifeStep {
+fn next_of_leaving(replica: &Replica, view: &StepView<'_>) -> Transition {
     let head = replica.head();
     let reported = view.report(head).is_some_and(|report| replica.state_in(report).is_none());
-    match view.standing(head) {
-        _ if replica.head_left || reported => LifeStep::HeadLeft,
-        WorkerStanding::Dead => LifeStep::HeadLeft,
+    match view.status(head) {
+        _ if replica.head_left || reported => Transition::HeadLeft,
+        WorkerStatus::Dead => Transition::HeadLeft,
         // The members leave one by one when they are needed elsewhere.
-        WorkerStanding::Lost => LifeStep::Release("the head is lost"),
-        WorkerStanding::Usable | WorkerStanding::Leaving => LifeStep::Stay,
+        WorkerStatus::Lost => Transition::Release("the head is lost"),
+        WorkerStatus::Usable | WorkerStatus::Leaving => Transition::Stay,
     }
 }
 
@@ -305,17 +305,17 @@
     view.report(replica.head()).and_then(|report| replica.state_in(report))
 }
 
-fn worst_standing(replica: &Replica, view: &StepView<'_>) -> WorkerStanding {
-    let rank = |standing: &WorkerStanding| match standing {
-        WorkerStanding::Usable => 0,
-        WorkerStanding::Leaving => 1,
-        WorkerStanding::Lost => 2,
-        WorkerStanding::Dead => 3,
+fn worst_standing(replica: &Replica, view: &StepView<'_>) -> WorkerStatus {
+    let rank = |standing: &WorkerStatus| match standing {
+        WorkerStatus::Usable => 0,
+        WorkerStatus::Leaving => 1,
+        WorkerStatus::Lost => 2,
+        WorkerStatus::Dead => 3,
     };
     replica
         .members
         .iter()
-        .map(|member| view.standing(member))
+        .map(|member| view.status(member))
         .max_by_key(rank)
-        .unwrap_or(WorkerStanding::Dead)
+        .unwrap_or(WorkerStatus::Dead)
 }
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -17,7 +17,7 @@
 
 mod adopt;
 mod demand;
-mod life;
+mod lifecycle;
 mod names;
 mod orders;
 mod place;
@@ -49,7 +49,7 @@
 
 /// What is known of a worker's ability to take part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkerStanding {
+pub enum WorkerStatus {
     /// It reports and may be ordered.
     Usable,
     /// It said that it leaves.
@@ -72,18 +72,18 @@
     /// Estimated time to read their prompts that were not read yet, in milliseconds.
     pub waiting_ms: u32,
     /// Whether it can take part.
-    pub standing: WorkerStanding,
+    pub status: WorkerStatus,
 }
 
 /// Times that the life of a replica is measured against.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTiming {
     /// Time for an order to show in the worker's report before it is given again.
-    pub repeat: Duration,
+    pub order_retry: Duration,
     /// Longest time for the requests of a replica to end before it is taken apart.
-    pub close: Duration,
+    pub close_timeout: Duration,
     /// Longest time after which an order that got no answer may still be carried out.
-    pub late: Duration,
+    pub max_order_delay: Duration,
     /// Window in which loads are counted.
     pub load_window: Duration,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTimes {
     /// When it began: what workers said before may be out of date by orders of the leader before.
-    pub began: Instant,
+    pub term_start: Instant,
     /// From when on the leader believes that it has heard of every worker.
     pub settled: Instant,
     /// From when on loads may be ordered.
@@ -148,8 +148,8 @@
 }
 
 impl<'a> StepView<'a> {
-    fn standing(&self, id: &WorkerId) -> WorkerStanding {
-        self.workers.get(id).map_or(WorkerStanding::Lost, |state| state.standing)
+    fn status(&self, id: &WorkerId) -> WorkerStatus {
+        self.workers.get(id).map_or(WorkerStatus::Lost, |state| state.status)
     }
 
     fn report(&self, id: &WorkerId) -> Option<&'a WorkerReport> {
@@ -203,7 +203,7 @@
             staging: BTreeMap::new(),
             vacated: BTreeSet::new(),
             departed: BTreeMap::new(),
-            orders: orders::OrderBook::new(timing.repeat),
+            orders: orders::OrderBook::new(timing.order_retry),
             uncertain: BTreeMap::new(),
             loads: LoadLimiter::new(timing.load_window),
             uses: ModelUses::new(times.settled),
@@ -258,8 +258,8 @@
     }
 
     /// Takes the outcome of an order in.
-    pub fn note_outcome(&mut self, ticket: &OrderTicket, outcome: OrderOutcome, now: Instant) {
-        self.orders.note_outcome(ticket, outcome, now);
+    pub fn record_outcome(&mut self, ticket: &OrderTicket, outcome: OrderOutcome, now: Instant) {
+        self.orders.record_outcome(ticket, outcome, now);
         let epoch = ticket.order.name().epoch;
         match (&ticket.order, outcome) {
             (WorkerOrder::Leave { .. }, outcome) if outcome.is_settled() => {
@@ -275,7 +275,7 @@
             (WorkerOrder::Join { .. }, OrderOutcome::Unknown) => {
                 let name = ticket.worker.name().to_owned();
                 let joins = self.uncertain.entry(name).or_default();
-                joins.insert(epoch, now + self.timing.late);
+                joins.insert(epoch, now + self.timing.max_order_delay);
             }
             _ => {}
         }
--- a/crates/fleet/src/replicas/orders.rs
+++ b/crates/fleet/src/replicas/orders.rs
@@ -153,7 +153,7 @@
         self.placed.insert(ticket.worker.name().to_owned(), placed);
     }
 
-    pub(super) fn note_outcome(
+    pub(super) fn record_outcome(
         &mut self,
         ticket: &OrderTicket,
         outcome: OrderOutcome,
--- a/crates/fleet/src/replicas/place.rs
+++ b/crates/fleet/src/replicas/place.rs
@@ -5,7 +5,7 @@
 use hollowbarrow_schema::{DomainId, ModelName, WorkerReport};
 
 use super::{
-    Replica, ReplicaController, ReplicaKind, ReplicaName, ReplicaPhase, StepView, WorkerStanding,
+    Replica, ReplicaController, ReplicaKind, ReplicaName, ReplicaPhase, StepView, WorkerStatus,
     domain_of, join_ids,
 };
 use crate::placement::{
@@ -15,11 +15,11 @@
 impl ReplicaController {
     /// Plans replicas over the workers that are in none.
     pub(super) fn place_free(&mut self, view: &StepView<'_>, warming_up: bool) {
-        self.note_uses(view);
+        self.record_uses(view);
         let models = view.engine.models.iter();
         let demands: Vec<PlacementDemand> =
             models.map(|model| self.uses.demand_of(model)).collect();
-        let usable = view.workers.values().filter(|s| s.standing == WorkerStanding::Usable);
+        let usable = view.workers.values().filter(|s| s.status == WorkerStatus::Usable);
         let mut domains: BTreeMap<DomainId, usize> = BTreeMap::new();
         for state in usable {
             *domains.entry(domain_of(state.report)).or_default() += 1;
@@ -84,7 +84,7 @@
             domains.len() > 1 && domains.iter().any(enough)
         });
         let Some(epoch) = found.map(|replica| replica.name.epoch) else { return };
-        let until = view.now + self.timing.close;
+        let until = view.now + self.timing.close_timeout;
         self.enter(epoch, ReplicaPhase::Closing { until });
     }
 
--- a/crates/fleet/src/replicas/standby.rs
+++ b/crates/fleet/src/replicas/standby.rs
@@ -12,7 +12,7 @@
 
 use super::names::{ReplicaKind, ReplicaName};
 use super::orders::{OrderTicket, WorkerOrder};
-use super::{ReplicaController, StepView, WorkerStanding, domain_of};
+use super::{ReplicaController, StepView, WorkerStatus, domain_of};
 
 /// Time after which copying a model to a host counts as failed, as a multiple of its length.
 const STAGING_PATIENCE: u32 = 3;
@@ -23,7 +23,7 @@
 impl ReplicaController {
     /// Gives each free worker without weights a model to hold.
     pub(super) fn keep_standbys(&mut self, view: &StepView<'_>) {
-        let usable = |id: &WorkerId| view.standing(id) == WorkerStanding::Usable;
+        let usable = |id: &WorkerId| view.status(id) == WorkerStatus::Usable;
         self.standbys.retain(|worker, _| usable(worker));
         let free = self.free_workers(view);
         let mut near = self.count_near(&free);
@@ -63,8 +63,8 @@
     pub(super) fn free_workers<'a>(&self, view: &StepView<'a>) -> Vec<&'a WorkerReport> {
         let members: BTreeSet<&WorkerId> =
             self.replicas.values().flat_map(|replica| &replica.members).collect();
-        let usable = view.workers.values().filter(|s| s.standing == WorkerStanding::Usable);
-        let known = usable.filter(|state| state.confirmed >= self.times.began);
+        let usable = view.workers.values().filter(|s| s.status == WorkerStatus::Usable);
+        let known = usable.filter(|state| state.confirmed >= self.times.term_start);
         known.map(|state| state.report).filter(|report| !members.contains(&report.id)).collect()
     }
 
@@ -172,7 +172,8 @@
 
     /// Forgets copies that are there, that failed or whose worker is not there any more.
     fn forget_staged(&mut self, view: &StepView<'_>) {
-        let longest = view.engine.models.iter().map(|model| model.load).max().unwrap_or_default();
+        let longest =
+            view.engine.models.iter().map(|model| model.load_time).max().unwrap_or_default();
         self.staging.retain(|worker, (model, since)| {
             let Some(report) = view.report(worker) else { return false };
             let late = view.now.duration_since(*since) > longest * STAGING_PATIENCE;
--- a/crates/fleet/src/versions.rs
+++ b/crates/fleet/src/versions.rs
@@ -20,7 +20,7 @@
 
 impl VersionTimes {
     /// Notes that a version is known; one that is not newer than the last changes nothing.
-    pub fn note(&mut self, version: u64, now: Instant) {
+    pub fn record(&mut self, version: u64, now: Instant) {
         if version <= self.newest() {
             return;
         }
@@ -37,14 +37,14 @@
 
     /// When the oldest version became known that a daemon with this version lacks; none if it
     /// lacks nothing.
-    pub fn lacking_since(&self, held: u64) -> Option<Instant> {
+    pub fn behind_since(&self, held: u64) -> Option<Instant> {
         let lacked = self.known.iter().find(|(version, _)| *version > held);
         lacked.map(|(_, at)| *at)
     }
 
     /// For how long a daemon with this version has lacked something; zero if it lacks nothing.
     pub fn lag(&self, held: u64, now: Instant) -> Duration {
-        let since = self.lacking_since(held);
+        let since = self.behind_since(held);
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
--- a/crates/fleet/src/workers.rs
+++ b/crates/fleet/src/workers.rs
@@ -27,7 +27,7 @@
 
 /// Part of a silence for which calls that went back must go on before they are believed: more than
 /// half of a heartbeat, where a silence is three.
-const GOES_ON_PART: u32 = 5;
+const REGRESSION_PART: u32 = 5;
 
 /// What came of merging a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,34 +48,34 @@
     /// Highest number heard of.
     pub seq: u64,
     /// When it was first heard of here.
-    pub first: Instant,
+    pub first_received: Instant,
     /// When it was last heard of.
-    pub heard: Instant,
+    pub last_received: Instant,
     /// Number under which its content last changed, as far as is known here.
     pub changed: u64,
     /// When it was last heard that the worker still says what is held.
     pub confirmed: Instant,
     /// Whether a later life of its name is known.
-    pub ended: bool,
+    pub superseded: bool,
 }
 
 /// What makes one life of a name later than another.
-type LifeRank = (u32, Option<Incarnation>);
+type InstancePrecedence = (u32, Option<Incarnation>);
 
 impl WorkerEntry {
-    fn rank(&self) -> LifeRank {
-        rank_of(&self.report)
+    fn precedence(&self) -> InstancePrecedence {
+        precedence_of(&self.report)
     }
 
     /// Whether the worker can be of use: it has neither deregistered nor ended.
-    pub fn is_there(&self) -> bool {
-        !self.report.gone && !self.ended
+    pub fn is_available(&self) -> bool {
+        !self.report.gone && !self.superseded
     }
 }
 
 /// A worker's call that is older than what is held, although nothing else has come for a while.
 #[derive(Clone, Debug)]
-struct StepBack {
+struct Regression {
     id: WorkerId,
     seq: u64,
     since: Instant,
@@ -88,8 +88,8 @@
     /// Newest life of each name.
     newest: BTreeMap<String, WorkerId>,
     /// Calls that went back, by name.
-    steps_back: BTreeMap<String, StepBack>,
-    digest: u64,
+    regressions: BTreeMap<String, Regression>,
+    hash: u64,
     revision: u64,
 }
 
@@ -103,29 +103,32 @@
     ///
     /// Where it is older than what is held of the name, it is taken once the holder has been silent
     /// for `silence` and what is older goes on: somebody else used the name, or a clock was wrong.
-    pub fn merge_own(
+    pub fn merge_direct(
         &mut self,
         mut report: WorkerReport,
         silence: Duration,
         now: Instant,
     ) -> MergeOutcome {
         let name = report.id.name().to_owned();
-        let Some(held) = self.newest_of(&name) else { return self.merge(report, now) };
+        let Some(held) = self.newest_instance(&name) else { return self.merge(report, now) };
         report.recount = held.report.recount;
         let own = held.report.id == report.id;
-        let behind =
-            if own { report.seq <= held.report.seq } else { rank_of(&report) < held.rank() };
+        let behind = if own {
+            report.seq <= held.report.seq
+        } else {
+            precedence_of(&report) < held.precedence()
+        };
         if !behind {
-            self.steps_back.remove(&name);
+            self.regressions.remove(&name);
             return self.merge(report, now);
         }
         let told = report.id.incarnation().is_some() || held.report.id.incarnation().is_none();
         let left = own && held.report.gone;
-        let silent = now.saturating_duration_since(held.heard) > silence;
+        let silent = now.saturating_duration_since(held.last_received) > silence;
         if !told || left || !silent || !self.goes_on(&report, silence, now) {
             return MergeOutcome::Stale;
         }
-        self.steps_back.remove(&name);
+        self.regressions.remove(&name);
         report.recount = Some(report.recount.unwrap_or(0) + 1);
         self.merge(report, now)
     }
@@ -133,22 +136,23 @@
     /// Whether calls that went back have come for a while, each later than the one before: late
     /// ones that a cut has held up come all at once.
     fn goes_on(&mut self, report: &WorkerReport, silence: Duration, now: Instant) -> bool {
-        let first = StepBack { id: report.id.clone(), seq: report.seq, since: now };
-        let held = self.steps_back.entry(report.id.name().to_owned()).or_insert(first.clone());
+        let first = Regression { id: report.id.clone(), seq: report.seq, since: now };
+        let held = self.regressions.entry(report.id.name().to_owned()).or_insert(first.clone());
         let elapsed = now.saturating_duration_since(held.since);
         if held.id != report.id || report.seq < held.seq || elapsed > silence * 2 {
             *held = first;
             return false;
         }
         held.seq = report.seq;
-        elapsed >= silence / GOES_ON_PART
+        elapsed >= silence / REGRESSION_PART
     }
 
     /// Takes a report in that another daemon passed on.
     pub fn merge(&mut self, report: WorkerReport, now: Instant) -> MergeOutcome {
-        let newest = self.newest_of(report.id.name());
-        if newest.is_some_and(|held| held.report.id != report.id && rank_of(&report) < held.rank())
-        {
+        let newest = self.newest_instance(report.id.name());
+        if newest.is_some_and(|held| {
+            held.report.id != report.id && precedence_of(&report) < held.precedence()
+        }) {
             return MergeOutcome::Stale;
         }
         let Some(entry) = self.entries.get_mut(&report.id) else {
@@ -171,19 +175,19 @@
         }
         if recounted || report.seq > entry.seq {
             entry.seq = report.seq;
-            entry.heard = now;
+            entry.last_received = now;
         }
         if !recounted && (entry.report.gone || is_same_content(&entry.report, &report)) {
             entry.report.seq = report.seq;
             return MergeOutcome::Renewed;
         }
-        self.digest ^= mark_of(entry);
+        self.hash ^= entry_hash(entry);
         self.revision += 1;
         entry.changed = report.seq;
-        entry.ended = false;
+        entry.superseded = false;
         let seq = if recounted { report.seq } else { report.seq.max(entry.report.seq) };
         entry.report = WorkerReport { seq, ..report };
-        self.digest ^= mark_of(entry);
+        self.hash ^= entry_hash(entry);
         let id = entry.report.id.clone();
         self.set_newest(id);
         MergeOutcome::Changed
@@ -195,13 +199,13 @@
         let entry = WorkerEntry {
             seq,
             changed,
-            first: now,
-            heard: now,
+            first_received: now,
+            last_received: now,
             confirmed: now,
-            ended: false,
+            superseded: false,
             report,
         };
-        self.digest ^= mark_of(&entry);
+        self.hash ^= entry_hash(&entry);
         self.entries.insert(id.clone(), entry);
         self.set_newest(id);
     }
@@ -211,8 +215,8 @@
         let former = self.newest.insert(id.name().to_owned(), id.clone());
         let Some(former) = former.filter(|former| *former != id) else { return };
         if let Some(entry) = self.entries.get_mut(&former) {
-            self.digest ^= mark_of(entry);
-            entry.ended = true;
+            self.hash ^= entry_hash(entry);
+            entry.superseded = true;
             self.revision += 1;
         }
     }
@@ -226,7 +230,7 @@
         }
         if beat.recount == entry.report.recount && beat.seq > entry.seq {
             entry.seq = beat.seq;
-            entry.heard = now;
+            entry.last_received = now;
             // One that tells of a later change than what is held confirms nothing of that.
             if beat.changed <= entry.report.seq {
                 entry.confirmed = now;
@@ -238,7 +242,7 @@
     /// Marks a worker as gone; returns the report to pass on if that is news.
     pub fn remove(&mut self, id: &WorkerId, now: Instant) -> Option<WorkerReport> {
         let entry = self.entries.get(id)?;
-        if !entry.is_there() {
+        if !entry.is_available() {
             return None;
         }
         let seq = entry.seq + 1;
@@ -250,19 +254,19 @@
     /// Forgets workers that have gone, or were not heard of for much longer than they should.
     pub fn expire(&mut self, silence: Duration, now: Instant) {
         let old = |entry: &WorkerEntry| {
-            let limit = if entry.is_there() { silence } else { GONE_RETENTION };
-            now.saturating_duration_since(entry.heard) > limit
+            let limit = if entry.is_available() { silence } else { GONE_RETENTION };
+            now.saturating_duration_since(entry.last_received) > limit
         };
         let expired: Vec<WorkerId> =
             self.entries.iter().filter(|(_, entry)| old(entry)).map(|(id, _)| id.clone()).collect();
         for id in expired {
             if let Some(entry) = self.entries.remove(&id) {
-                self.digest ^= mark_of(&entry);
+                self.hash ^= entry_hash(&entry);
                 self.revision += 1;
             }
             if self.newest.get(id.name()) == Some(&id) {
                 self.newest.remove(id.name());
-                self.steps_back.remove(id.name());
+                self.regressions.remove(id.name());
             }
         }
     }
@@ -273,7 +277,7 @@
     }
 
     /// What is held of the newest life of a name.
-    pub fn newest_of(&self, name: &str) -> Option<&WorkerEntry> {
+    pub fn newest_instance(&self, name: &str) -> Option<&WorkerEntry> {
         self.entries.get(self.newest.get(name)?)
     }
 
@@ -292,21 +296,22 @@
     ) -> impl Iterator<Item = &WorkerEntry> {
         // Left out at once, the members of a head that has deregistered were given to another
         // replica within 0.5 s, and its streams stood still.
-        let serves =
-            move |entry: &WorkerEntry| now.saturating_duration_since(entry.heard) < DEPARTURE_TIME;
+        let serves = move |entry: &WorkerEntry| {
+            now.saturating_duration_since(entry.last_received) < DEPARTURE_TIME
+        };
         let entries = self.entries.values().filter(move |entry| entry.report.service == *service);
         entries.filter(move |entry| !entry.report.gone || serves(entry))
     }
 
     /// All reports, for a daemon whose table differs. Those of lives that have ended are left out.
     pub fn reports(&self) -> Vec<WorkerReport> {
-        let entries = self.entries.values().filter(|entry| !entry.ended);
+        let entries = self.entries.values().filter(|entry| !entry.superseded);
         entries.map(|entry| entry.report.clone()).collect()
     }
 
     /// Digest over the reports held; equal for equal tables.
-    pub fn digest(&self) -> u64 {
-        self.digest
+    pub fn table_hash(&self) -> u64 {
+        self.hash
     }
 
     /// Rises with every change.
@@ -325,7 +330,7 @@
     }
 }
 
-fn rank_of(report: &WorkerReport) -> LifeRank {
+fn precedence_of(report: &WorkerReport) -> InstancePrecedence {
     (report.recount.unwrap_or(0), report.id.incarnation())
 }
 
@@ -342,8 +347,8 @@
 /// A life's part of the digest: its content without its number, since daemons may have learned
 /// the same content under different numbers. Workers that have gone or ended leave no mark, since
 /// daemons forget them at different times.
-fn mark_of(entry: &WorkerEntry) -> u64 {
-    if !entry.is_there() {
+fn entry_hash(entry: &WorkerEntry) -> u64 {
+    if !entry.is_available() {
         return 0;
     }
     let WorkerReport { id, service, address, zone, slots, leaving, gone, .. } = &entry.report;
--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -41,8 +41,8 @@
         limits: CallerLimits {
             header_bytes: 16_384,
             body_bytes: 1 << 20,
-            header_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         },
         organisations: Some(vec![organisation("family", &["k1", "k2"])]),
     }
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -35,7 +35,7 @@
 }
 
 fn newest(table: &WorkerTable) -> &WorkerId {
-    &table.newest_of("w").expect("the worker is known").report.id
+    &table.newest_instance("w").expect("the worker is known").report.id
 }
 
 #[rstest]
@@ -45,10 +45,13 @@
     let now = Instant::now();
     let mut table = WorkerTable::new();
     table.merge(report(&life(5), seq, 4), now);
-    assert_eq!(table.merge_own(report(&life(6), next_seq, 4), SILENCE, now), MergeOutcome::Changed);
+    assert_eq!(
+        table.merge_direct(report(&life(6), next_seq, 4), SILENCE, now),
+        MergeOutcome::Changed
+    );
     assert_eq!(newest(&table), &life(6));
     let former = table.get(&life(5)).expect("it is remembered");
-    assert!(former.ended && !former.is_there());
+    assert!(former.superseded && !former.is_available());
     assert_eq!(table.reports().len(), 1, "only the newest life is passed on");
 }
 
@@ -59,8 +62,8 @@
     let mut table = WorkerTable::new();
     table.merge(report(&life(5), 7, 4), now);
     table.remove(&life(5), now);
-    table.merge_own(report(&life(6), 1, 4), SILENCE, now);
-    assert!(table.newest_of("w").expect("known").is_there());
+    table.merge_direct(report(&life(6), 1, 4), SILENCE, now);
+    assert!(table.newest_instance("w").expect("known").is_available());
 }
 
 #[rstest]
@@ -69,14 +72,14 @@
     let mut table = WorkerTable::new();
     table.merge(report(&life(5), 7, 4), now);
     table.merge(report(&life(6), 1, 4), now);
-    let (digest, revision) = (table.digest(), table.revision());
+    let (digest, revision) = (table.table_hash(), table.revision());
     let late = now + HEARTBEAT;
-    assert_eq!(table.merge_own(report(&life(5), 8, 9), SILENCE, late), MergeOutcome::Stale);
+    assert_eq!(table.merge_direct(report(&life(5), 8, 9), SILENCE, late), MergeOutcome::Stale);
     assert_eq!(table.merge(report(&life(5), 9, 9), late), MergeOutcome::Stale);
     assert_eq!(table.merge(report(&life(4), 9, 9), late), MergeOutcome::Stale);
     assert_eq!(table.remove(&life(5), late), None);
     table.renew(&WorkerBeat { id: life(5), seq: 99, recount: None, changed: 1 }, late);
-    assert_eq!((table.digest(), table.revision()), (digest, revision));
+    assert_eq!((table.table_hash(), table.revision()), (digest, revision));
     assert_eq!(newest(&table), &life(6));
 }
 
@@ -91,17 +94,17 @@
     let mut believed = None;
     for beat in 1..10u32 {
         let now = start + HEARTBEAT * beat;
-        let outcome = table.merge_own(report(&life(5), beat.into(), 4), SILENCE, now);
+        let outcome = table.merge_direct(report(&life(5), beat.into(), 4), SILENCE, now);
         if outcome != MergeOutcome::Stale && beat > 2 {
             believed.get_or_insert(beat);
         }
         if beat == 2 {
-            table.merge_own(report(&foreign, seq, 1), SILENCE, now);
+            table.merge_direct(report(&foreign, seq, 1), SILENCE, now);
         }
     }
     // Told at 2 s, silent at 5 s, believed with the second call after that.
     assert_eq!(believed, Some(7));
-    let held = table.newest_of("w").expect("known");
+    let held = table.newest_instance("w").expect("known");
     assert_eq!((&held.report.id, held.report.slots, held.seq), (&life(5), 4, 9));
     assert_eq!(held.report.recount, Some(1));
 }
@@ -114,7 +117,10 @@
     table.merge(report(&life(5), 9, 4), start);
     let late = start + SILENCE * 2;
     for seq in 5..9 {
-        assert_eq!(table.merge_own(report(&life(5), seq, 4), SILENCE, late), MergeOutcome::Stale);
+        assert_eq!(
+            table.merge_direct(report(&life(5), seq, 4), SILENCE, late),
+            MergeOutcome::Stale
+        );
     }
 }
 
@@ -126,29 +132,30 @@
 fn clock_set_back(#[case] deregistered: bool) {
     let start = Instant::now();
     let mut table = WorkerTable::new();
-    table.merge_own(report(&life(900), 50, 4), SILENCE, start);
+    table.merge_direct(report(&life(900), 50, 4), SILENCE, start);
     if deregistered {
         table.remove(&life(900), start);
     }
     let mut taken = None;
     for beat in 1..10u32 {
         let now = start + HEARTBEAT * beat;
-        if table.merge_own(report(&life(5), beat.into(), 4), SILENCE, now) != MergeOutcome::Stale {
+        if table.merge_direct(report(&life(5), beat.into(), 4), SILENCE, now) != MergeOutcome::Stale
+        {
             taken.get_or_insert(beat);
         }
     }
     assert_eq!(taken, Some(5));
-    assert!(table.newest_of("w").expect("known").is_there());
+    assert!(table.newest_instance("w").expect("known").is_available());
 }
 
 #[rstest]
 fn untold_birth_after_told() {
     let start = Instant::now();
     let mut table = WorkerTable::new();
-    table.merge_own(report(&life(5), 1, 4), SILENCE, start);
+    table.merge_direct(report(&life(5), 1, 4), SILENCE, start);
     for beat in 1..10u32 {
         let foreign = report(&WorkerId::from("w"), 100 + u64::from(beat), 4);
-        let outcome = table.merge_own(foreign, SILENCE, start + HEARTBEAT * beat);
+        let outcome = table.merge_direct(foreign, SILENCE, start + HEARTBEAT * beat);
         assert_eq!(outcome, MergeOutcome::Stale);
     }
     assert_eq!(newest(&table), &life(5));
@@ -164,8 +171,8 @@
     other.merge(report(&life(5), 2, 4), now);
     let removal = one.remove(&life(5), now).expect("it was there");
     assert_eq!(other.merge(removal, now), MergeOutcome::Changed);
-    assert!(!other.newest_of("w").expect("known").is_there());
-    assert_eq!(one.digest(), other.digest());
+    assert!(!other.newest_instance("w").expect("known").is_available());
+    assert_eq!(one.table_hash(), other.table_hash());
 }
 
 /// What a daemon does with one table.
@@ -207,7 +214,7 @@
 type Rank = (u32, Option<Incarnation>, u64);
 
 fn rank(table: &WorkerTable) -> Option<Rank> {
-    let held = table.newest_of("w")?;
+    let held = table.newest_instance("w")?;
     Some((held.report.recount.unwrap_or(0), held.report.id.incarnation(), held.report.seq))
 }
 
@@ -227,7 +234,7 @@
                 TableEvent::Report { table, born, seq } => {
                     // One number of a life names one content.
                     let report = report(&life(*born), *seq, *seq as u32);
-                    tables[*table].merge_own(report, SILENCE, now);
+                    tables[*table].merge_direct(report, SILENCE, now);
                     let highest = told.entry(*born).or_default();
                     *highest = (*highest).max(*seq);
                 }
@@ -255,9 +262,9 @@
         }
         let newest = told.keys().max().map(|born| life(*born));
         for table in &tables {
-            prop_assert_eq!(table.newest_of("w").map(|held| &held.report.id), newest.as_ref());
-            prop_assert_eq!(table.digest(), tables[0].digest());
-            let there = table.iter().filter(|entry| entry.is_there()).count();
+            prop_assert_eq!(table.newest_instance("w").map(|held| &held.report.id), newest.as_ref());
+            prop_assert_eq!(table.table_hash(), tables[0].table_hash());
+            let there = table.iter().filter(|entry| entry.is_available()).count();
             prop_assert!(there <= 1, "one life at most is there");
         }
     }
--- a/crates/fleet/tests/planning.rs
+++ b/crates/fleet/tests/planning.rs
@@ -6,7 +6,7 @@
 use hollowbarrow_fleet::replicas::{ReplicaKind, WorkerState};
 use hollowbarrow_fleet::{
     Engine, LeaderTimes, ModelSpec, OrderOutcome, ReplicaController, ReplicaTiming, WorkerOrder,
-    WorkerStanding,
+    WorkerStatus,
 };
 use hollowbarrow_schema::{
     DomainId, Epoch, MembershipState, ModelName, ServiceName, Term, WorkerId, WorkerMembership,
@@ -27,9 +27,9 @@
         name: ModelName::from(name),
         size,
         share: 0.5,
-        pace: 1.0,
-        load: Duration::from_secs(16),
-        warm: Duration::from_secs(1),
+        time_factor: 1.0,
+        load_time: Duration::from_secs(16),
+        warm_load_time: Duration::from_secs(1),
     }
 }
 
@@ -40,13 +40,13 @@
         models: vec![model("large", 16), model("small", 4)],
         step: Duration::from_millis(6),
         step_per_request_ms: 0.05,
-        read_per_second: 50_000.0,
+        prefill_per_second: 50_000.0,
         stride: 8,
         loads_per_second: 25.0,
         loads_at_once: 100,
-        far: 2.5,
-        form: Duration::from_millis(300),
-        usual_answer: 178,
+        cross_domain_factor: 2.5,
+        open_delay: Duration::from_millis(300),
+        mean_answer_tokens: 178,
     }
 }
 
@@ -70,18 +70,18 @@
 
 fn usable(report: &WorkerReport, active: u32, waiting_ms: u32) -> WorkerState<'_> {
     let confirmed = Instant::now();
-    WorkerState { report, confirmed, active, waiting_ms, standing: WorkerStanding::Usable }
+    WorkerState { report, confirmed, active, waiting_ms, status: WorkerStatus::Usable }
 }
 
 fn new_controller(start: Instant) -> ReplicaController {
     let timing = ReplicaTiming {
-        repeat: Duration::from_millis(1800),
-        close: Duration::from_millis(1500),
-        late: Duration::from_secs(13),
+        order_retry: Duration::from_millis(1800),
+        close_timeout: Duration::from_millis(1500),
+        max_order_delay: Duration::from_secs(13),
         load_window: Duration::from_secs(5),
     };
     let settled = start + Duration::from_millis(500);
-    let times = LeaderTimes { began: start, settled, loads_from: start };
+    let times = LeaderTimes { term_start: start, settled, loads_from: start };
     ReplicaController::new(timing, Term(1), times)
 }
 
@@ -107,7 +107,7 @@
         let states: Vec<WorkerState<'_>> =
             reports.iter().map(|report| usable(report, 0, 0)).collect();
         for ticket in controller.step(&engine(), &states, true, now) {
-            controller.note_outcome(&ticket, OrderOutcome::Begun, now);
+            controller.record_outcome(&ticket, OrderOutcome::Begun, now);
             let WorkerOrder::Join { name, .. } = &ticket.order else { continue };
             loads.entry(ticket.worker.clone()).or_insert((name.model.clone(), now + LOAD));
             if name.kind == ReplicaKind::Serving {
@@ -145,7 +145,7 @@
         let states: Vec<WorkerState<'_>> = reports.iter().map(|one| usable(one, 0, 0)).collect();
         let tickets = controller.step(&engine, &states, true, start + STEP * step);
         for ticket in tickets {
-            controller.note_outcome(&ticket, OrderOutcome::Begun, start + STEP * step);
+            controller.record_outcome(&ticket, OrderOutcome::Begun, start + STEP * step);
             let loaded = reports.iter_mut().find(|report| report.id == ticket.worker);
             let report = loaded.expect("orders go to workers that were reported");
             match &ticket.order {
@@ -190,7 +190,7 @@
     let start = Instant::now();
     let mut engine = engine();
     engine.models = vec![model("large", 4), model("small", 2)];
-    engine.models[1].pace = 0.6;
+    engine.models[1].time_factor = 0.6;
     let mut reports: Vec<WorkerReport> =
         (0..2).flat_map(|n| members_of(n + 1, "large", 4, 4 * n as usize)).collect();
     reports.extend((0..4).flat_map(|n| members_of(n + 11, "small", 2, 8 + 2 * n as usize)));
--- a/crates/fleet/tests/standins/mod.rs
+++ b/crates/fleet/tests/standins/mod.rs
@@ -6,7 +6,7 @@
 use hollowbarrow_fleet::replicas::{ReplicaName, WorkerState};
 use hollowbarrow_fleet::{
     Engine, LeaderTimes, ModelSpec, OrderOutcome, OrderTicket, ReplicaController, ReplicaTiming,
-    WorkerOrder, WorkerStanding,
+    WorkerOrder, WorkerStatus,
 };
 use hollowbarrow_schema::{
     DomainId, Incarnation, MembershipState, ModelName, ServiceName, Term, WorkerId,
@@ -27,27 +27,27 @@
             name: ModelName::from("m"),
             size,
             share: 1.0,
-            pace: 1.0,
-            load: Duration::from_secs(2),
-            warm: Duration::from_millis(300),
+            time_factor: 1.0,
+            load_time: Duration::from_secs(2),
+            warm_load_time: Duration::from_millis(300),
         }],
         step: Duration::from_millis(6),
         step_per_request_ms: 0.05,
-        read_per_second: 50_000.0,
+        prefill_per_second: 50_000.0,
         stride: 7,
         loads_per_second: 4.5,
         loads_at_once: 6,
-        far: 2.5,
-        form: Duration::from_millis(300),
-        usual_answer: 178,
+        cross_domain_factor: 2.5,
+        open_delay: Duration::from_millis(300),
+        mean_answer_tokens: 178,
     }
 }
 
 fn timing(late: Duration) -> ReplicaTiming {
     ReplicaTiming {
-        repeat: Duration::from_millis(1800),
-        close: Duration::from_millis(1500),
-        late,
+        order_retry: Duration::from_millis(1800),
+        close_timeout: Duration::from_millis(1500),
+        max_order_delay: late,
         load_window: Duration::from_secs(5),
     }
 }
@@ -359,16 +359,16 @@
 
     /// Has a leader act on what it heard; a part of its orders goes astray.
     pub fn step(&mut self, controller: &mut ReplicaController, faults: f64) {
-        let reports: Vec<(WorkerReport, Instant, WorkerStanding)> = self
+        let reports: Vec<(WorkerReport, Instant, WorkerStatus)> = self
             .workers
             .iter()
             .filter_map(|worker| {
                 let (report, at) = worker.heard.clone()?;
                 let standing = match worker.alive && !worker.is_cut(self.now) {
-                    true => WorkerStanding::Usable,
+                    true => WorkerStatus::Usable,
                     // It was probed, and the new life has answered.
-                    false if self.is_reborn(worker) => WorkerStanding::Dead,
-                    false => WorkerStanding::Lost,
+                    false if self.is_reborn(worker) => WorkerStatus::Dead,
+                    false => WorkerStatus::Lost,
                 };
                 Some((report, at, standing))
             })
@@ -380,13 +380,13 @@
                 confirmed: *confirmed,
                 active: 0,
                 waiting_ms: 0,
-                standing: *standing,
+                status: *standing,
             })
             .collect();
         let tickets = controller.step(&engine(self.size), &states, false, self.now);
         for ticket in tickets {
             let outcome = self.deliver(&ticket, faults);
-            controller.note_outcome(&ticket, outcome, self.now);
+            controller.record_outcome(&ticket, outcome, self.now);
         }
     }
 
@@ -451,6 +451,6 @@
 /// come late by no more than `late`.
 pub fn new_leader(term: u64, now: Instant, late: Duration) -> ReplicaController {
     let times =
-        LeaderTimes { began: now, settled: now + Duration::from_millis(500), loads_from: now };
+        LeaderTimes { term_start: now, settled: now + Duration::from_millis(500), loads_from: now };
     ReplicaController::new(timing(late), Term(term), times)
 }
--- a/crates/fleet/tests/versions.rs
+++ b/crates/fleet/tests/versions.rs
@@ -20,7 +20,7 @@
     let start = Instant::now();
     let mut times = VersionTimes::default();
     for (version, at) in known {
-        times.note(*version, start + MS * *at);
+        times.record(*version, start + MS * *at);
     }
     assert_eq!(times.lag(held, start + MS * 1000), MS * lag_ms);
 }
@@ -30,7 +30,7 @@
     let start = Instant::now();
     let mut times = VersionTimes::default();
     for version in 1..=1000 {
-        times.note(u64::from(version), start + MS * version);
+        times.record(u64::from(version), start + MS * version);
     }
     assert!(times.lag(0, start + MS * 1000) > MS * 250, "many versions are remembered");
     assert_eq!(times.lag(999, start + MS * 1000), Duration::ZERO);
--- a/crates/fleet/tests/workers.rs
+++ b/crates/fleet/tests/workers.rs
@@ -58,9 +58,9 @@
     table.merge(report(1, 5, false), start);
     let beat = |seq| WorkerBeat { id: WorkerId::from("w1"), seq, changed: 1, recount: None };
     assert!(table.renew(&beat(4), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").heard, start);
+    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").last_received, start);
     assert!(table.renew(&beat(6), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").heard, later);
+    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").last_received, later);
     assert!(
         !table.renew(
             &WorkerBeat { id: WorkerId::from("w9"), seq: 1, changed: 1, recount: None },
@@ -96,7 +96,7 @@
     table.merge(report(1, 5, false), start);
     table.renew(&WorkerBeat { id: WorkerId::from("w1"), seq: 9, changed, recount: None }, later);
     let entry = table.get(&WorkerId::from("w1")).expect("there");
-    assert_eq!(entry.heard, later);
+    assert_eq!(entry.last_received, later);
     assert_eq!(entry.confirmed, if confirmed { later } else { start });
 }
 
@@ -116,9 +116,9 @@
     let (mut one, mut other) = (WorkerTable::new(), WorkerTable::new());
     one.merge(report(1, 5, false), now);
     other.merge(report(1, 8, false), now);
-    assert_eq!(one.digest(), other.digest());
+    assert_eq!(one.table_hash(), other.table_hash());
     other.merge(report(1, 9, true), now);
-    assert_ne!(one.digest(), other.digest());
+    assert_ne!(one.table_hash(), other.table_hash());
 }
 
 proptest! {
@@ -150,7 +150,7 @@
         for sent in shuffled.iter().chain(&shuffled) {
             other.merge(sent.clone(), now);
         }
-        prop_assert_eq!(one.digest(), other.digest());
+        prop_assert_eq!(one.table_hash(), other.table_hash());
         let mut naive: BTreeMap<WorkerId, WorkerReport> = BTreeMap::new();
         for sent in &sent {
             let newest = naive.entry(sent.id.clone()).or_insert_with(|| sent.clone());
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -147,7 +147,7 @@
 
     /// Takes in a view that a controller passed on.
     pub(crate) fn take_view(&self, from: &DaemonId, view: &FleetView, now: Instant) {
-        self.known().note(view.deployment, now);
+        self.known().record(view.deployment, now);
         self.crashes().take_view(view, now);
         let mut picker = self.picker();
         let before = picker.gateways();
--- a/crates/gateway/src/estimate.rs
+++ b/crates/gateway/src/estimate.rs
@@ -51,7 +51,7 @@
     replicas: usize,
 ) -> Option<f64> {
     let each = f64::from(active) / replicas.max(1) as f64;
-    let usual_ms = engine.step_ms(spec, each) * f64::from(engine.usual_answer);
+    let usual_ms = engine.step_ms(spec, each) * f64::from(engine.mean_answer_tokens);
     let hearing_ms = HEARING_TIME.as_secs_f64() * 1000.0;
     (usual_ms > 0.0).then(|| f64::from(active) * hearing_ms / usual_ms)
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -58,7 +58,7 @@
         self.0.routes().map_or(FIRST_LIMITS, |routes| {
             let limits = routes.limits();
             let head_bytes = limits.header_bytes.max(FIRST_LIMITS.head_bytes);
-            HttpLimits { head_bytes, idle: limits.idle_time }
+            HttpLimits { head_bytes, idle: limits.idle_timeout }
         })
     }
 
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -189,7 +189,7 @@
 
     /// Digest of the table of workers.
     pub fn digest(&self) -> u64 {
-        self.table.digest()
+        self.table.table_hash()
     }
 
     /// Number of workers known.
@@ -290,9 +290,9 @@
         let candidates = self.candidates.replicas(&key);
         let estimate = |candidate: &Candidate| {
             let load = self.load_of(&candidate.id);
-            let slower = if candidate.scattered { engine.far } else { 1.0 };
-            let pass = engine.pass_ms(spec, f64::from(load.active + 1)) * slower;
-            let reading = engine.reading_ms(spec, facts.prompt_tokens) * slower;
+            let slower = if candidate.scattered { engine.cross_domain_factor } else { 1.0 };
+            let pass = engine.iteration_ms(spec, f64::from(load.active + 1)) * slower;
+            let reading = engine.prefill_ms(spec, facts.prompt_tokens) * slower;
             let first_ms = load.waiting_ms + reading + pass * 1.5;
             PickedWorker {
                 id: candidate.id.clone(),
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -238,9 +238,9 @@
         name: ModelName::from("m"),
         size: REPLICA_SIZE as usize,
         share: 1.0,
-        pace: 1.0,
-        load: Duration::from_secs(16),
-        warm: Duration::from_secs(1),
+        time_factor: 1.0,
+        load_time: Duration::from_secs(16),
+        warm_load_time: Duration::from_secs(1),
     };
     let engine = Engine {
         slots: 30,
@@ -248,13 +248,13 @@
         models: vec![model],
         step: Duration::from_millis(6),
         step_per_request_ms: 0.05,
-        read_per_second: 50_000.0,
+        prefill_per_second: 50_000.0,
         stride: 7,
         loads_per_second: 4.5,
         loads_at_once: 6,
-        far: 2.5,
-        form: Duration::from_millis(300),
-        usual_answer: 178,
+        cross_domain_factor: 2.5,
+        open_delay: Duration::from_millis(300),
+        mean_answer_tokens: 178,
     };
     Service {
         name: ServiceName("chat".to_owned()),
