--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -58,7 +58,7 @@
             Err(_) => ControlAnswer::Invalid(vec!["the body did not come whole".to_owned()]),
         };
         let (status, headers, body) = core.protocol.write_answer(&answer);
-        let mut response = Response::new(AnswerBody::whole(body));
+        let mut response = Response::new(AnswerBody::complete(body));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
--- a/crates/controller/tests/liveness.rs
+++ b/crates/controller/tests/liveness.rs
@@ -75,7 +75,7 @@
     #[case] expected: WorkerStanding,
 ) {
     let start = Instant::now();
-    let life = |born| WorkerId::of_life("w", Some(Incarnation(born)));
+    let life = |born| WorkerId::of_instance("w", Some(Incarnation(born)));
     let (former, next) = (life(5), life(6));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     for beat in 0..=beats {
@@ -99,7 +99,7 @@
 #[rstest]
 fn judge_recounted_life() {
     let start = Instant::now();
-    let former = WorkerId::of_life("w", Some(Incarnation(5)));
+    let former = WorkerId::of_instance("w", Some(Incarnation(5)));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     let mut judge = LivenessJudge::new();
     judge.begin_probe(&former, start);
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 fn life(born: Option<u64>) -> WorkerId {
-    WorkerId::of_life("w", born.map(Incarnation))
+    WorkerId::of_instance("w", born.map(Incarnation))
 }
 
 fn deployment(service: &str) -> Deployment {
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -19,7 +19,7 @@
     Allocation, Epoch, FencedOrder, GroupName, GroupSpec, NodeId, NodeOrder, NodeState, ZoneTable,
 };
 use hollowbarrow_state::ConfigState;
-use hollowbarrow_upstream::{EngineClient, GiveOrderError};
+use hollowbarrow_upstream::{EngineClient, SendOrderError};
 use hollowbarrow_zone::{ReplicaName, ReplicaStage, ReplicaStages, TableStanding};
 use tokio::time::Instant;
 
@@ -39,7 +39,7 @@
 struct OrderResult {
     node: NodeId,
     epoch: Epoch,
-    outcome: Result<(), GiveOrderError>,
+    outcome: Result<(), SendOrderError>,
 }
 
 /// Keeps the groups of one zone.
@@ -351,7 +351,7 @@
                 *result.epoch,
                 error.to_string()
             );
-            let GiveOrderError::Fenced(refusal) = error else { continue };
+            let SendOrderError::Fenced(refusal) = error else { continue };
             if refusal.owner == self.core.settings.owner || refusal.owner.is_empty() {
                 self.raise_epoch(refusal.epoch, now);
             } else {
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -13,7 +13,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(1000);
 
 fn life(born: u64) -> WorkerId {
-    WorkerId::of_life("w", Some(Incarnation(born)))
+    WorkerId::of_instance("w", Some(Incarnation(born)))
 }
 
 fn report(id: &WorkerId, seq: u64, slots: u32) -> WorkerReport {
--- a/crates/fleet/tests/standins/mod.rs
+++ b/crates/fleet/tests/standins/mod.rs
@@ -347,7 +347,7 @@
         former.alive = false;
         former.membership = None;
         let born = former.id.incarnation().map_or(1, |born| born.0 + 1);
-        let id = WorkerId::of_life(former.id.name(), Some(Incarnation(born)));
+        let id = WorkerId::of_instance(former.id.name(), Some(Incarnation(born)));
         let (staged, cut_until) = (former.staged, former.cut_until);
         let mut next =
             StandinWorker { staged, late, cut_until, ..StandinWorker::new(id.to_string()) };
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -221,7 +221,7 @@
         model: request.head.model.as_ref(),
         prompt_tokens: request.head.prompt_tokens,
         excluded: tries.excluded(),
-        kept: &core.client.kept_addresses(),
+        kept: &core.client.idle_addresses(),
         patience,
     });
     flight.map_err(Refusal::NoWorker)
@@ -246,7 +246,7 @@
     let limit = request.deadline().min(Instant::now() + LONGEST_CONNECT);
     let preparing = core.client.prepare(flight.worker.address, true);
     match tokio::time::timeout_at(limit, preparing).await {
-        Ok(Ok(lease)) => Ok(lease.with_most_idle(core.most_idle(&request.service))),
+        Ok(Ok(lease)) => Ok(lease.with_max_idle(core.most_idle(&request.service))),
         _ => {
             tries.ledger.note_outcome(ErrorRan::NotRun);
             Err(AttemptUpstreamError::NotReached)
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hollowbarrow_fleet::{Organisation, Route, RouteTable};
 use hollowbarrow_member::http::plain_answer;
-use hollowbarrow_member::{HttpAnswer, HttpHandler, HttpLimits, WakeWatch};
+use hollowbarrow_member::{HttpAnswer, HttpHandler, HttpLimits, SuspensionDetector};
 use hollowbarrow_routing::RequestContent;
 use hollowbarrow_schema::{RequestDigest, ServiceName};
 use http_body_util::{BodyExt, Limited};
@@ -171,7 +171,7 @@
     routed: RoutedRequest,
     body: Bytes,
     received: Instant,
-    wake: &Arc<WakeWatch>,
+    wake: &Arc<SuspensionDetector>,
 ) -> CallerRequest {
     let timeout = routed.route.timeout;
     let patience = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hollowbarrow_fleet::{Organisation, Route, Service};
-use hollowbarrow_member::{HttpAnswer, WakeWatch};
+use hollowbarrow_member::{HttpAnswer, SuspensionDetector};
 use hollowbarrow_routing::AttemptBounds;
 use hollowbarrow_schema::RequestDigest;
 use hyper::{HeaderMap, Method};
@@ -33,7 +33,7 @@
     pub(crate) end: Instant,
     /// Time of all suspensions until it was received.
     pub(crate) slept_before: Duration,
-    pub(crate) wake: Arc<WakeWatch>,
+    pub(crate) wake: Arc<SuspensionDetector>,
     /// Tells whether two requests are the same one, sent again.
     pub(crate) digest: RequestDigest,
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use hollowbarrow_fleet::Repeatability;
-use hollowbarrow_member::{AnswerBody, CutAnswerError, HttpAnswer};
+use hollowbarrow_member::{AnswerBody, HttpAnswer, TruncatedAnswerError};
 use hollowbarrow_routing::retry::AttemptUpstreamError;
 use hollowbarrow_upstream::{ConnectionLease, SentAnswer};
 use http_body_util::BodyExt;
@@ -219,7 +219,7 @@
     /// The answer, whose further events follow as they come.
     fn into_answer(self, head: hyper::http::response::Parts, first: Option<Bytes>) -> HttpAnswer {
         let Some(first) = first else {
-            return Response::from_parts(head, AnswerBody::whole(Bytes::new()));
+            return Response::from_parts(head, AnswerBody::complete(Bytes::new()));
         };
         let pieces = unfold((self, Some(first)), |(mut run, first)| async move {
             if let Some(first) = first {
@@ -228,11 +228,11 @@
             let piece = run.next_piece().await?;
             Some((piece, (run, None)))
         });
-        Response::from_parts(head, AnswerBody::Pieces(Box::pin(pieces)))
+        Response::from_parts(head, AnswerBody::Chunks(Box::pin(pieces)))
     }
 
     /// The next events; none where the stream is whole.
-    async fn next_piece(&mut self) -> Option<Result<Bytes, CutAnswerError>> {
+    async fn next_piece(&mut self) -> Option<Result<Bytes, TruncatedAnswerError>> {
         loop {
             let error = match self.read().await {
                 ReadStep::Piece(piece) => {
@@ -248,7 +248,7 @@
             if let Err(error) = self.resume(error).await {
                 let refusal = Refusal::from_attempt(&error);
                 self.request.note_failed(&self.core, refusal, &self.tries);
-                return Some(Err(CutAnswerError));
+                return Some(Err(TruncatedAnswerError));
             }
         }
     }
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -30,7 +30,7 @@
 
 impl WholeAnswer {
     pub(crate) fn into_http(self) -> HttpAnswer {
-        let mut answer = Response::new(AnswerBody::whole(self.body));
+        let mut answer = Response::new(AnswerBody::complete(self.body));
         *answer.status_mut() = self.status;
         *answer.headers_mut() = passed_headers(&self.headers);
         answer
--- a/crates/log/src/driver.rs
+++ b/crates/log/src/driver.rs
@@ -50,7 +50,7 @@
 }
 
 /// Who is told of what was applied.
-pub type Applied = Box<dyn Fn(AppliedChange<'_>) + Send>;
+pub type AppliedCallback = Box<dyn Fn(AppliedChange<'_>) + Send>;
 
 /// Where outgoing messages go.
 type SendMessage = Box<dyn Fn(&DaemonId, LogMessage) + Send>;
@@ -60,7 +60,7 @@
     replica: ReplicaConfig,
     folder: Option<std::path::PathBuf>,
     snapshot_entries: usize,
-    applied: Option<Applied>,
+    applied: Option<AppliedCallback>,
 }
 
 impl DriverConfig {
@@ -76,7 +76,7 @@
     }
 
     /// Sets who is told of each applied entry and each installed snapshot.
-    pub fn with_applied(mut self, applied: Applied) -> Self {
+    pub fn with_applied_callback(mut self, applied: AppliedCallback) -> Self {
         self.applied = Some(applied);
         self
     }
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -20,7 +20,7 @@
 mod storage;
 
 pub use driver::{
-    Applied, AppliedChange, DriverConfig, DriverInput, LogDriver, LogView, StateMachine,
+    AppliedCallback, AppliedChange, DriverConfig, DriverInput, LogDriver, LogView, StateMachine,
 };
 pub use file::FileStorage;
 pub use replica::{LogReplica, ReplicaConfig, ReplicaFault};
--- a/crates/log/tests/driver.rs
+++ b/crates/log/tests/driver.rs
@@ -38,7 +38,7 @@
     let ids: Vec<DaemonId> = ["a", "b", "c"].iter().map(|id| DaemonId::from(*id)).collect();
     let (sender, told) = flume::unbounded();
     let replica = ReplicaConfig::new(&ids[0], &ids[1..], &ids);
-    let config = DriverConfig::new(replica, None).with_applied(Box::new(move |_| {
+    let config = DriverConfig::new(replica, None).with_applied_callback(Box::new(move |_| {
         let _ = sender.send(());
     }));
     let driver = LogDriver::start(config, SnapshotHolder(Vec::new()), |_, _| {}).expect("it runs");
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -90,7 +90,7 @@
     let before = resident_kb()?;
     let mut table = BackoffTable::new();
     for number in 0..WORKERS * MEMORY_SCALE {
-        let worker = WorkerId::of_life(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+        let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
         table.note_asked(&worker, Duration::from_secs(3), Instant::now());
     }
     kept.push(table);
@@ -144,7 +144,7 @@
     let (epoch, rank) = (number / REPLICA_SIZE + 1, number % REPLICA_SIZE);
     let state = if rank == 0 { MembershipState::Open } else { MembershipState::Ready };
     WorkerReport {
-        id: WorkerId::of_life(&name, born.then_some(Incarnation(BORN + number))),
+        id: WorkerId::of_instance(&name, born.then_some(Incarnation(BORN + number))),
         seq: 4000,
         recount: None,
         service: ServiceName("chat".to_owned()),
@@ -185,7 +185,7 @@
 }
 
 fn limit(number: u64) -> UpstreamLimit {
-    let worker = WorkerId::of_life(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+    let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
     let limit = Some(RequestRate(1800));
     UpstreamLimit { upstream: worker.to_string(), limit, sent_ms: 620, came_ms: 400 }
 }
--- a/crates/member/src/http.rs
+++ b/crates/member/src/http.rs
@@ -36,37 +36,37 @@
 /// An answer that ended before it was whole; its connection is cut.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
-pub struct CutAnswerError;
+pub struct TruncatedAnswerError;
 
 /// Pieces of an answer.
-pub type PieceStream = Pin<Box<dyn Stream<Item = Result<Bytes, CutAnswerError>> + Send>>;
+pub type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedAnswerError>> + Send>>;
 
 /// Body of an answer.
 pub enum AnswerBody {
     /// Everything is there.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// Pieces come one after the other; the answer is whole when they end.
-    Pieces(PieceStream),
+    Chunks(ChunkStream),
 }
 
 impl AnswerBody {
     /// A body that is there already.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = CutAnswerError;
+    type Error = TruncatedAnswerError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutAnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswerError>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(pieces) => {
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Chunks(pieces) => {
                 let next = pieces.as_mut().poll_next(context);
                 next.map(|piece| piece.map(|piece| piece.map(Frame::data)))
             }
@@ -75,10 +75,10 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
@@ -88,7 +88,7 @@
 
 /// A plain answer of a status and a text.
 pub fn plain_answer(status: StatusCode, text: impl Into<Bytes>) -> HttpAnswer {
-    let mut answer = Response::new(AnswerBody::whole(text));
+    let mut answer = Response::new(AnswerBody::complete(text));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -12,10 +12,10 @@
 mod links;
 mod metrics;
 mod settings;
-mod wake;
+mod suspension;
 
-pub use http::{AnswerBody, CutAnswerError, HttpAnswer, HttpHandler, HttpLimits, serve_http};
+pub use http::{AnswerBody, HttpAnswer, HttpHandler, HttpLimits, TruncatedAnswerError, serve_http};
 pub use links::{EncodedDeployment, MemberLinks, StartLinksError};
 pub use metrics::serve_metrics;
 pub use settings::{member_id, read_member_settings, seed_ids};
-pub use wake::{BootClock, SuspensionClock, WakeWatch};
+pub use suspension::{BootClock, SuspensionClock, SuspensionDetector};
--- a/crates/member/src/links.rs
+++ b/crates/member/src/links.rs
@@ -89,8 +89,8 @@
         let listener = TcpListener::bind(bound).map_err(fail)?;
         let mut config = MeshConfig::new(&id, &settings.cluster_keys)
             .with_addressed_peers()
-            .with_connect(CONNECT_TIMEOUT)
-            .with_patience(STEP_TIMEOUT, SILENCE_TIMEOUT);
+            .with_connect_timeout(CONNECT_TIMEOUT)
+            .with_timeouts(STEP_TIMEOUT, SILENCE_TIMEOUT);
         if let Some(ip) = bind_ip {
             config = config.with_source(ip);
         }
--- a/crates/member/src/wake.rs
+++ b/crates/member/src/suspension.rs
@@ -50,12 +50,12 @@
 }
 
 /// Knows when the machine last woke.
-pub struct WakeWatch {
+pub struct SuspensionDetector {
     clock: Box<dyn SuspensionClock>,
     state: Mutex<WakeState>,
 }
 
-impl WakeWatch {
+impl SuspensionDetector {
     /// Watches the clocks of the system.
     pub fn new() -> Self {
         Self::with_clock(BootClock)
@@ -72,7 +72,7 @@
 
     /// When the machine was last noticed to have woken, by the clock of the runtime; none if it has
     /// not been suspended since this watch began. To be asked before acting on what was heard.
-    pub fn woke(&self, now: Instant) -> Option<Instant> {
+    pub fn last_resumed(&self, now: Instant) -> Option<Instant> {
         let suspended = self.clock.suspended();
         let mut state = self.state.lock().expect("no holder of the lock panics");
         let length = suspended.saturating_sub(state.suspended);
@@ -85,17 +85,17 @@
 
     /// Time of all suspensions of the machine that were noticed so far.
     pub fn suspended(&self, now: Instant) -> Duration {
-        self.woke(now);
+        self.last_resumed(now);
         self.state.lock().expect("no holder of the lock panics").suspended
     }
 
     /// Whether something that was true at some moment may have become false unseen since.
-    pub fn has_slept_since(&self, at: Instant, now: Instant) -> bool {
-        self.woke(now).is_some_and(|woke| woke >= at)
+    pub fn was_suspended_since(&self, at: Instant, now: Instant) -> bool {
+        self.last_resumed(now).is_some_and(|woke| woke >= at)
     }
 }
 
-impl Default for WakeWatch {
+impl Default for SuspensionDetector {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/member/tests/wake.rs
+++ b/crates/member/tests/suspension.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use hollowbarrow_member::{BootClock, SuspensionClock, WakeWatch};
+use hollowbarrow_member::{BootClock, SuspensionClock, SuspensionDetector};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -30,33 +30,33 @@
 fn woke_after_suspension(#[case] length_ms: u64, #[case] noticed: bool) {
     let clock = StandinClock::default();
     clock.0.store(70_000, Ordering::SeqCst);
-    let watch = WakeWatch::with_clock(clock.clone());
+    let watch = SuspensionDetector::with_clock(clock.clone());
     let start = Instant::now();
-    assert_eq!(watch.woke(start), None, "what was before it does not count");
+    assert_eq!(watch.last_resumed(start), None, "what was before it does not count");
     clock.0.fetch_add(length_ms, Ordering::SeqCst);
     let now = start + ms(10);
-    assert_eq!(watch.woke(now), noticed.then_some(now));
-    assert_eq!(watch.woke(now + ms(500)), noticed.then_some(now), "it is noticed once");
+    assert_eq!(watch.last_resumed(now), noticed.then_some(now));
+    assert_eq!(watch.last_resumed(now + ms(500)), noticed.then_some(now), "it is noticed once");
 }
 
 /// A confirmation was heard 10 ms before by the clock of the runtime, and the machine slept since.
 #[rstest]
 fn has_slept_since_confirmation() {
     let clock = StandinClock::default();
-    let watch = WakeWatch::with_clock(clock.clone());
+    let watch = SuspensionDetector::with_clock(clock.clone());
     let heard = Instant::now();
-    assert!(!watch.has_slept_since(heard, heard + ms(5)));
+    assert!(!watch.was_suspended_since(heard, heard + ms(5)));
     clock.0.store(4000, Ordering::SeqCst);
     let woke = heard + ms(10);
-    assert!(watch.has_slept_since(heard, woke));
-    assert!(!watch.has_slept_since(woke + ms(1), woke + ms(2)), "heard after it woke");
+    assert!(watch.was_suspended_since(heard, woke));
+    assert!(!watch.was_suspended_since(woke + ms(1), woke + ms(2)), "heard after it woke");
 }
 
 /// The machine of the tests is not suspended while they run.
 #[rstest]
 fn suspended_goes_not_back() {
     let first = BootClock.suspended();
-    let watch = WakeWatch::new();
-    assert_eq!(watch.woke(Instant::now()), None);
+    let watch = SuspensionDetector::new();
+    assert_eq!(watch.last_resumed(Instant::now()), None);
     assert!(BootClock.suspended() < first + ms(50));
 }
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -115,13 +115,13 @@
     ///
     /// Shorter than the time after which the opening packet is sent again, since a machine that
     /// is just starting answers the next attempt sooner.
-    pub fn with_connect(mut self, connect: Duration) -> Self {
+    pub fn with_connect_timeout(mut self, connect: Duration) -> Self {
         self.connect = connect;
         self
     }
 
     /// Sets the longest time of one step, and the silence after which a connection is given up.
-    pub fn with_patience(mut self, step: Duration, silence: Duration) -> Self {
+    pub fn with_timeouts(mut self, step: Duration, silence: Duration) -> Self {
         self.step = step;
         self.silence = silence;
         self
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -10,16 +10,16 @@
 #[allow(missing_docs, clippy::all, rustdoc::all)]
 #[rustfmt::skip]
 mod generated;
-mod held;
+mod instance;
 pub mod keys;
-mod lives;
+mod quarantine;
 pub mod selector;
 pub mod settings;
 mod validate;
 
 pub use generated::*;
-pub use held::{ParseContentError, parse_content, read_release_path, release_path};
-pub use lives::{Incarnation, LIFE_MARK};
+pub use instance::{Incarnation, START_TIME_SEPARATOR};
+pub use quarantine::{ParseContentError, parse_content, read_release_path, release_path};
 
 /// Version of the messages between daemons; both ends of a connection must agree on it.
 pub const PROTOCOL_VERSION: u32 = 3;
--- a/crates/telemetry/src/budget.rs
+++ b/crates/telemetry/src/budget.rs
@@ -15,7 +15,7 @@
 
 /// How much a line matters when not all can be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineRank {
+pub enum LinePriority {
     /// What went as it should.
     Ordinary,
     /// A failed request, or a change of what the process believes.
@@ -84,14 +84,14 @@
     }
 
     /// Whether a line may be written; one that may not is counted.
-    pub fn take(&mut self, rank: LineRank, bytes: usize, now: Instant) -> bool {
+    pub fn take(&mut self, rank: LinePriority, bytes: usize, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.filled);
         self.filled = now;
         self.all.fill(elapsed);
         self.unsettled.fill(elapsed);
-        let kept = if rank == LineRank::Ordinary { KEPT_SHARE } else { 0.0 };
+        let kept = if rank == LinePriority::Ordinary { KEPT_SHARE } else { 0.0 };
         let fits = self.all.take(bytes, kept)
-            || (rank == LineRank::Unsettled && self.unsettled.take(bytes, 0.0));
+            || (rank == LinePriority::Unsettled && self.unsettled.take(bytes, 0.0));
         self.dropped += u64::from(!fits);
         fits
     }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -11,6 +11,6 @@
 mod logging;
 mod metrics;
 
-pub use budget::{LineRank, LogBudget};
+pub use budget::{LinePriority, LogBudget};
 pub use logging::{StartLoggingError, start_logging};
 pub use metrics::{MetricsPage, TIME_BOUNDS};
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -9,7 +9,7 @@
 use flume::{Receiver, Sender};
 use log::{Level, Record};
 
-use crate::budget::{LineRank, LogBudget};
+use crate::budget::{LinePriority, LogBudget};
 
 /// Lines that may wait to be written.
 const WAITING_LINES: usize = 1024;
@@ -103,12 +103,12 @@
     }
 }
 
-fn rank_of(level: Level, line: &str) -> LineRank {
+fn rank_of(level: Level, line: &str) -> LinePriority {
     if level > Level::Info || ORDINARY_EVENTS.iter().any(|event| line.contains(event)) {
-        return LineRank::Ordinary;
+        return LinePriority::Ordinary;
     }
     let unsettled = UNSETTLED_MARKS.iter().any(|mark| line.contains(mark));
-    if unsettled { LineRank::Unsettled } else { LineRank::Important }
+    if unsettled { LinePriority::Unsettled } else { LinePriority::Important }
 }
 
 fn write_lines(waiting: &Receiver<LineMessage>) {
--- a/crates/telemetry/tests/budget.rs
+++ b/crates/telemetry/tests/budget.rs
@@ -2,18 +2,18 @@
 
 use std::time::{Duration, Instant};
 
-use hollowbarrow_telemetry::{LineRank, LogBudget};
+use hollowbarrow_telemetry::{LinePriority, LogBudget};
 use rstest::rstest;
 
 /// Lines of one rank that come at once, or for a minute, ten at a time each 10 ms.
 #[rstest]
-#[case::ordinary_burst(LineRank::Ordinary, 100, 1, 500)]
-#[case::important_burst(LineRank::Important, 100, 1, 1000)]
-#[case::long_lines(LineRank::Important, 32 << 10, 1, 10)]
-#[case::ordinary_for_a_minute(LineRank::Ordinary, 100, 6000, 500 + 60 * 200)]
-#[case::important_for_a_minute(LineRank::Important, 100, 6000, 1000 + 60 * 200)]
+#[case::ordinary_burst(LinePriority::Ordinary, 100, 1, 500)]
+#[case::important_burst(LinePriority::Important, 100, 1, 1000)]
+#[case::long_lines(LinePriority::Important, 32 << 10, 1, 10)]
+#[case::ordinary_for_a_minute(LinePriority::Ordinary, 100, 6000, 500 + 60 * 200)]
+#[case::important_for_a_minute(LinePriority::Important, 100, 6000, 1000 + 60 * 200)]
 fn take_lines(
-    #[case] rank: LineRank,
+    #[case] rank: LinePriority,
     #[case] bytes: usize,
     #[case] rounds: u32,
     #[case] expected: u64,
@@ -35,8 +35,8 @@
 fn take_important_after_flood() {
     let now = Instant::now();
     let mut budget = LogBudget::new(now);
-    while budget.take(LineRank::Ordinary, 100, now) {}
-    let written = (0..3000).filter(|_| budget.take(LineRank::Important, 100, now)).count();
+    while budget.take(LinePriority::Ordinary, 100, now) {}
+    let written = (0..3000).filter(|_| budget.take(LinePriority::Important, 100, now)).count();
     assert!(written >= 500, "{written} lines that matter were written after a flood");
 }
 
@@ -47,7 +47,7 @@
 fn take_unsettled_after_storm(#[case] lines: usize, #[case] expected: usize) {
     let now = Instant::now();
     let mut budget = LogBudget::new(now);
-    while budget.take(LineRank::Important, 100, now) {}
-    let written = (0..lines).filter(|_| budget.take(LineRank::Unsettled, 100, now)).count();
+    while budget.take(LinePriority::Important, 100, now) {}
+    let written = (0..lines).filter(|_| budget.take(LinePriority::Unsettled, 100, now)).count();
     assert_eq!(written, expected);
 }
--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -179,7 +179,7 @@
 
 impl ConnectionLease {
     /// Sets how many idle connections to the upstream there may be once this one is given back.
-    pub fn with_most_idle(mut self, most_idle: usize) -> Self {
+    pub fn with_max_idle(mut self, most_idle: usize) -> Self {
         self.most_idle = most_idle.min(IDLE_PER_UPSTREAM);
         self
     }
@@ -220,7 +220,7 @@
     }
 
     /// Sets after what time a connection that does not come up is tried a second time.
-    pub fn with_first_connect(mut self, limit: Duration) -> Self {
+    pub fn with_first_connect_timeout(mut self, limit: Duration) -> Self {
         self.first_connect = limit;
         self
     }
@@ -243,7 +243,7 @@
     }
 
     /// Addresses to which a request can go now without a new connection.
-    pub fn kept_addresses(&self) -> HashSet<SocketAddr> {
+    pub fn idle_addresses(&self) -> HashSet<SocketAddr> {
         let idle = self.idle.lock().expect("no holder of the lock panics");
         let usable =
             idle.by_address.iter().filter(|(_, kept)| kept.iter().any(|one| one.is_usable()));
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -34,7 +34,7 @@
 
 /// Why an order was not carried out, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum GiveOrderError {
+pub enum SendOrderError {
     /// The node refused the order, because another one came first.
     #[error("the node holds epoch {} of owner {}", *.0.epoch, .0.owner)]
     Fenced(OrderRefusal),
@@ -64,7 +64,7 @@
         address: SocketAddr,
         order: &'a FencedOrder,
         timeout: Duration,
-    ) -> EngineFuture<'a, Result<(), GiveOrderError>>;
+    ) -> EngineFuture<'a, Result<(), SendOrderError>>;
 }
 
 /// Engines that speak the protocol of `docs/upstream-protocol.md`.
@@ -136,7 +136,7 @@
         address: SocketAddr,
         order: &'a FencedOrder,
         timeout: Duration,
-    ) -> EngineFuture<'a, Result<(), GiveOrderError>> {
+    ) -> EngineFuture<'a, Result<(), SendOrderError>> {
         Box::pin(async move {
             let body = serde_json::to_vec(order).unwrap_or_default();
             let request = plain_request(Method::POST, ORDER_TARGET, Bytes::from(body));
@@ -144,10 +144,10 @@
             match status {
                 StatusCode::OK | StatusCode::ACCEPTED => Ok(()),
                 StatusCode::CONFLICT => match serde_json::from_slice(&body) {
-                    Ok(refusal) => Err(GiveOrderError::Fenced(refusal)),
-                    Err(_) => Err(GiveOrderError::Refused(status.as_u16())),
+                    Ok(refusal) => Err(SendOrderError::Fenced(refusal)),
+                    Err(_) => Err(SendOrderError::Refused(status.as_u16())),
                 },
-                _ => Err(GiveOrderError::Refused(status.as_u16())),
+                _ => Err(SendOrderError::Refused(status.as_u16())),
             }
         })
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -10,13 +10,13 @@
 mod client;
 mod engine;
 mod events;
+mod notice;
 mod platform;
-mod word;
 
 pub use client::{
     ConnectionLease, SendRequestError, SentAnswer, UpstreamClient, UpstreamRequest, is_hop_header,
 };
-pub use engine::{EngineClient, EngineFuture, GiveOrderError, HttpEngine, ProbeNodeError};
+pub use engine::{EngineClient, EngineFuture, HttpEngine, ProbeNodeError, SendOrderError};
 pub use events::{EventParser, ParseEventError, StreamChunk, parse_chunk};
+pub use notice::{ReadBackoffError, ReadLimitError, UpstreamNotice, read_backoff, read_limit};
 pub use platform::{ListNodesError, list_nodes};
-pub use word::{ReadBackoffError, ReadLimitError, UpstreamWord, read_backoff, read_limit};
--- a/crates/upstream/src/word.rs
+++ b/crates/upstream/src/notice.rs
@@ -34,7 +34,7 @@
 
 /// What the head of an answer says of requests to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UpstreamWord {
+pub struct UpstreamNotice {
     /// For how long the upstream wants no requests from this daemon; none where it does not say.
     pub backoff: Result<Option<Duration>, ReadBackoffError>,
     /// Whether the upstream says that it is about to end.
@@ -43,14 +43,14 @@
     pub limit: Result<Option<RequestRate>, ReadLimitError>,
 }
 
-impl UpstreamWord {
+impl UpstreamNotice {
     /// Creates the word of an upstream that asks for nothing.
     pub fn new() -> Self {
         Self { backoff: Ok(None), leaving: false, limit: Ok(None) }
     }
 }
 
-impl Default for UpstreamWord {
+impl Default for UpstreamNotice {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/upstream/tests/connections.rs
+++ b/crates/upstream/tests/connections.rs
@@ -68,10 +68,10 @@
         let mut leases = Vec::new();
         for _ in 0..3 {
             let lease = client.prepare(address, true).await.expect("the server listens");
-            leases.push(use_lease(&client, lease.with_most_idle(most_idle)).await);
+            leases.push(use_lease(&client, lease.with_max_idle(most_idle)).await);
         }
         leases.into_iter().for_each(ConnectionLease::give_back);
-        assert!(client.kept_addresses().contains(&address));
+        assert!(client.idle_addresses().contains(&address));
     }
     assert_eq!(count.load(Ordering::Relaxed), expected);
 }
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::unfold;
 use hollowbarrow_member::http::{bind_http, call_once};
 use hollowbarrow_member::{
-    AnswerBody, CutAnswerError, HttpAnswer, HttpHandler, HttpLimits, serve_http,
+    AnswerBody, HttpAnswer, HttpHandler, HttpLimits, TruncatedAnswerError, serve_http,
 };
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -419,12 +419,12 @@
         }
         let held = self.lock().membership.clone().filter(|held| held.state == "open");
         if header("target-instance") != self.id || (self.engine && held.is_none()) {
-            return builder.status(421).body(AnswerBody::whole("")).expect("sound");
+            return builder.status(421).body(AnswerBody::complete("")).expect("sound");
         }
         if let Some(backoff) = self.note_arrival(&id) {
             let builder = builder.status(503).header("not-executed", "1");
             let builder = builder.header("retry-after", backoff.as_secs_f64().to_string());
-            return builder.body(AnswerBody::whole("")).expect("sound");
+            return builder.body(AnswerBody::complete("")).expect("sound");
         }
         if let Some(held) = &held {
             self.fleet.check_whole(held, &id);
@@ -438,13 +438,13 @@
             // The head goes out, and no event.
             let cut = unfold((), |()| async {
                 tokio::time::sleep(ENDING_TIME).await;
-                Some((Err(CutAnswerError), ()))
+                Some((Err(TruncatedAnswerError), ()))
             });
-            return builder.body(AnswerBody::Pieces(Box::pin(cut))).expect("sound");
+            return builder.body(AnswerBody::Chunks(Box::pin(cut))).expect("sound");
         }
         if !self.engine {
             let body = format!("tenant {} request {id}", header("tenant"));
-            return builder.body(AnswerBody::whole(body)).expect("sound");
+            return builder.body(AnswerBody::complete(body)).expect("sound");
         }
         let after: u64 = header("last-event-id").parse().unwrap_or_default();
         let worker = Arc::clone(self);
@@ -457,12 +457,12 @@
                 let slow = worker.slow.load(Ordering::Relaxed);
                 tokio::time::sleep(EVENT_PAUSE * if slow { 2 } else { 1 }).await;
                 if worker.stopped.load(Ordering::Relaxed) {
-                    return Some((Err(CutAnswerError), EVENTS + 1));
+                    return Some((Err(TruncatedAnswerError), EVENTS + 1));
                 }
                 let since = Instant::now();
                 while worker.stands_still() {
                     if since.elapsed() > STALL_TIME {
-                        return Some((Err(CutAnswerError), EVENTS + 1));
+                        return Some((Err(TruncatedAnswerError), EVENTS + 1));
                     }
                     tokio::time::sleep(EVENT_PAUSE).await;
                 }
@@ -470,7 +470,7 @@
             }
         });
         let builder = builder.header("content-type", "text/event-stream");
-        builder.body(AnswerBody::Pieces(Box::pin(events))).expect("sound")
+        builder.body(AnswerBody::Chunks(Box::pin(events))).expect("sound")
     }
 }
 
@@ -488,7 +488,7 @@
         }
         let other = head.headers.get("target-instance").is_some_and(|id| *id != self.id);
         if control && other {
-            return Response::builder().status(421).body(AnswerBody::whole("")).expect("sound");
+            return Response::builder().status(421).body(AnswerBody::complete("")).expect("sound");
         }
         match head.uri.path() {
             "/-/order" => {
@@ -502,14 +502,14 @@
                         }
                     });
                     tokio::time::sleep(LIMITS.idle).await;
-                    return Response::new(AnswerBody::whole(""));
+                    return Response::new(AnswerBody::complete(""));
                 }
                 let status = self.take_order(&order);
-                Response::builder().status(status).body(AnswerBody::whole("{}")).expect("sound")
+                Response::builder().status(status).body(AnswerBody::complete("{}")).expect("sound")
             }
             "/-/report" => {
                 let told = self.born.map_or(json!({}), |born| json!({"born": born}));
-                Response::new(AnswerBody::whole(told.to_string()))
+                Response::new(AnswerBody::complete(told.to_string()))
             }
             _ => {
                 let answer = self.answer_request(&head, &body);
