--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -16,7 +16,7 @@
 
 use crate::core::ControllerCore;
 use crate::protocol::{ControlAnswer, ControlCall};
-use crate::records::{RecordFault, check_birth, check_report};
+use crate::records::{RecordFault, check_report, check_start};
 use crate::sync::{pass_on, take_report};
 
 /// Largest body of a call.
@@ -72,7 +72,7 @@
         ControlCall::Replace(text) => replace_deployment(core, text, path).await,
         ControlCall::Fetch => fetch_deployment(core, path).await,
         ControlCall::Unreadable(reason) => ControlAnswer::Invalid(vec![reason]),
-        ControlCall::Refused(worker, fault) => refuse_record(core, &worker, &fault),
+        ControlCall::InvalidRecord(worker, fault) => refuse_record(core, &worker, &fault),
         ControlCall::Unknown => ControlAnswer::Unknown,
     }
 }
@@ -92,7 +92,7 @@
     }
     core.fleet().release(request, Instant::now());
     log::warn!("event=request_released content={:016x} by=operator", *request);
-    ControlAnswer::Taken
+    ControlAnswer::Accepted
 }
 
 fn take_worker(core: &ControllerCore, report: WorkerReport) -> ControlAnswer {
@@ -102,7 +102,7 @@
         return refuse_record(core, &report.id, &fault);
     }
     take_report(core, report);
-    ControlAnswer::Taken
+    ControlAnswer::Accepted
 }
 
 fn refuse_record(core: &ControllerCore, worker: &WorkerId, fault: &RecordFault) -> ControlAnswer {
@@ -122,24 +122,24 @@
         let table = fleet.table();
         let newest = table.newest_of(worker.name()).map(|entry| entry.report.id.clone());
         let later = newest.is_some_and(|newest| newest.incarnation() > worker.incarnation());
-        (check_birth(worker, table), table.get(worker).is_some(), later)
+        (check_start(worker, table), table.get(worker).is_some(), later)
     };
     if let Err(fault) = checked {
         return refuse_record(core, worker, &fault);
     }
     if !held && later {
         // A life that has ended, and of which nothing is held any more.
-        return ControlAnswer::Taken;
+        return ControlAnswer::Accepted;
     }
     if !held {
-        return ControlAnswer::NotNow("the worker is not known here");
+        return ControlAnswer::Unavailable("the worker is not known here");
     }
     let removed = core.fleet().remove(worker, Instant::now());
     if let Some(report) = removed {
         log::info!("event=worker_removed worker={}", **worker);
         pass_on(core, report);
     }
-    ControlAnswer::Taken
+    ControlAnswer::Accepted
 }
 
 async fn replace_deployment(core: &ControllerCore, text: String, path: &str) -> ControlAnswer {
@@ -151,7 +151,7 @@
         Err(faults) => return invalid(&faults),
     };
     if version <= core.log.read(|state| state.version()) {
-        return ControlAnswer::Taken;
+        return ControlAnswer::Accepted;
     }
     if !core.log.view().leads {
         return core.elsewhere(path);
@@ -159,9 +159,9 @@
     let document = DeploymentDocument { version, text };
     let outcome = core.log.propose(EntryPayload::Deployment(document));
     match tokio::time::timeout(COMMIT_TIMEOUT, outcome.recv_async()).await {
-        Ok(Ok(ProposalOutcome::Held)) => ControlAnswer::Taken,
+        Ok(Ok(ProposalOutcome::Held)) => ControlAnswer::Accepted,
         Ok(Ok(ProposalOutcome::NoLeader)) => core.elsewhere(path),
-        _ => ControlAnswer::NotNow("it is not known whether the configuration was committed"),
+        _ => ControlAnswer::Unavailable("it is not known whether the configuration was committed"),
     }
 }
 
@@ -184,11 +184,13 @@
             let document = core.newest_document();
             return match document {
                 Some(document) => ControlAnswer::Document(document.text),
-                None => ControlAnswer::NotNow("no configuration was put in force"),
+                None => ControlAnswer::Unavailable("no configuration was put in force"),
             };
         }
         if asked.elapsed() > CONFIRM_TIMEOUT {
-            return ControlAnswer::NotNow("a majority does not confirm that this daemon leads");
+            return ControlAnswer::Unavailable(
+                "a majority does not confirm that this daemon leads",
+            );
         }
         tokio::time::sleep(CONFIRM_POLL).await;
     }
--- a/crates/controller/src/telling.rs
+++ b/crates/controller/src/certainty.rs
@@ -15,7 +15,7 @@
 
 /// What entitles a controller to tell the configuration that it holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum TellBasis {
+pub enum ConfigCertainty {
     /// Nothing yet: what is held may be older than what is in force.
     #[default]
     Nothing,
@@ -27,7 +27,7 @@
 
 /// What a controller knows of its own log.
 #[derive(Clone, Copy, Debug)]
-pub struct TellFacts {
+pub struct CertaintyFacts {
     /// When it started or last woke: what it held then may be older than what is in force.
     pub since: Instant,
     /// Latest moment at which a majority confirmed the leader that it follows.
@@ -36,19 +36,19 @@
     pub complete: Option<Instant>,
 }
 
-impl TellFacts {
+impl CertaintyFacts {
     /// What entitles the controller to tell now.
-    pub fn basis(&self, now: Instant) -> TellBasis {
+    pub fn basis(&self, now: Instant) -> ConfigCertainty {
         let age = |at: Instant| now.saturating_duration_since(at);
         let complete = self.complete.filter(|at| *at > self.since);
         if complete.is_some_and(|at| age(at) <= LEADERLESS_TIME) {
-            return TellBasis::Complete;
+            return ConfigCertainty::Complete;
         }
         let heard = self.confirmed.map_or(self.since, |at| at.max(self.since));
         if age(heard) > LEADERLESS_TIME || age(self.since) > BEHIND_TIME {
-            TellBasis::Unconfirmed
+            ConfigCertainty::Unconfirmed
         } else {
-            TellBasis::Nothing
+            ConfigCertainty::Nothing
         }
     }
 }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -17,11 +17,11 @@
 use crate::core::{ControllerCore, ELECTION_TIME};
 use crate::fleet::FleetState;
 use crate::metrics::ControllerMetrics;
-use crate::news::tell_news;
-use crate::orders::WorkerNews;
+use crate::orders::WorkerEvent;
 use crate::protocol::ControlProtocol;
-use crate::reconcile::keep_fleet;
+use crate::reconcile::run_leader;
 use crate::sync::{greet_controllers, log_quorum, push_deployments, take_message};
+use crate::worker_updates::publish_updates;
 
 /// Silence after which a voter that has just started stands for election: where all ended at once,
 /// none leads.
@@ -80,10 +80,10 @@
         let handler = Arc::new(ControlHandler(Arc::clone(&core)));
         tokio::spawn(serve_http(listener, stopped, handler));
         tokio::spawn(greet_controllers(Arc::clone(&core)));
-        tokio::spawn(tell_news(Arc::clone(&core)));
+        tokio::spawn(publish_updates(Arc::clone(&core)));
         tokio::spawn(push_deployments(Arc::clone(&core)));
         tokio::spawn(log_quorum(Arc::clone(&core)));
-        tokio::spawn(keep_fleet(Arc::clone(&core), news_receiver));
+        tokio::spawn(run_leader(Arc::clone(&core), news_receiver));
         let shown = Arc::clone(&core);
         serve_metrics(core.settings.metrics.as_deref(), move || shown.metrics_text());
         log::info!("event=started role=controller name={}", core.settings.name);
@@ -105,7 +105,7 @@
     settings: MemberSettings,
     protocol: Arc<dyn ControlProtocol>,
     data: &Path,
-    news: flume::Sender<WorkerNews>,
+    news: flume::Sender<WorkerEvent>,
 ) -> Result<ControllerCore, StartControllerError> {
     let links: Arc<OnceLock<MemberLinks>> = Arc::default();
     let applied = Arc::new(Notify::new());
--- a/crates/controller/src/core.rs
+++ b/crates/controller/src/core.rs
@@ -12,12 +12,12 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use crate::certainty::{CertaintyFacts, ConfigCertainty};
 use crate::fleet::FleetState;
 use crate::metrics::{ControllerLevels, ControllerMetrics};
-use crate::orders::WorkerNews;
-use crate::pending::PendingNews;
+use crate::orders::WorkerEvent;
+use crate::pending::PendingReports;
 use crate::protocol::{ControlAnswer, ControlProtocol};
-use crate::telling::{TellBasis, TellFacts};
 
 /// Silence after which a voter stands for election.
 pub(crate) const ELECTION_TIME: Duration = Duration::from_millis(600);
@@ -33,20 +33,20 @@
     pub(crate) applied: Arc<Notify>,
     /// Told when there is news of workers to send out.
     pub(crate) news_due: Notify,
-    pub(crate) news: flume::Sender<WorkerNews>,
+    pub(crate) news: flume::Sender<WorkerEvent>,
     pub(crate) metrics: ControllerMetrics,
     pub(crate) started: Instant,
     pub(crate) wake: WakeWatch,
     pub(crate) links: Arc<OnceLock<MemberLinks>>,
     pub(crate) fleet: Mutex<FleetState>,
-    pub(crate) pending: Mutex<PendingNews>,
+    pub(crate) pending: Mutex<PendingReports>,
     /// Limits of workers, and the permits that this controller issues while it leads.
     pub(crate) limits: Mutex<LimitCoordinator>,
     pub(crate) parsed: Mutex<Option<Arc<Deployment>>>,
     pub(crate) encoded: Mutex<Option<EncodedDeployment>>,
     pub(crate) commits: Mutex<VersionTimes>,
     /// What last entitled this controller to tell configurations, to log when that changes.
-    pub(crate) basis: Mutex<TellBasis>,
+    pub(crate) basis: Mutex<ConfigCertainty>,
 }
 
 impl ControllerCore {
@@ -58,7 +58,7 @@
         self.fleet.lock().expect("no holder of the lock panics")
     }
 
-    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingNews> {
+    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingReports> {
         self.pending.lock().expect("no holder of the lock panics")
     }
 
@@ -131,9 +131,9 @@
     }
 
     /// What entitles this controller to tell gateways what is committed here.
-    pub(crate) fn tell_basis(&self, now: Instant) -> TellBasis {
+    pub(crate) fn tell_basis(&self, now: Instant) -> ConfigCertainty {
         let view = self.log.view();
-        let facts = TellFacts {
+        let facts = CertaintyFacts {
             since: self.wake.woke(now).map_or(self.started, |woke| woke.max(self.started)),
             confirmed: view.confirmed,
             complete: view.complete,
@@ -143,7 +143,7 @@
         basis
     }
 
-    fn note_basis(&self, basis: TellBasis) {
+    fn note_basis(&self, basis: ConfigCertainty) {
         let mut noted = self.basis.lock().expect("no holder of the lock panics");
         if std::mem::replace(&mut *noted, basis) != basis {
             let version = self.log.read(DeploymentState::version);
@@ -173,8 +173,8 @@
         let ip = leader.as_ref().and_then(|leader| leader.split(':').next());
         let control = self.settings.control.as_deref().unwrap_or_default();
         match (ip, control.rsplit(':').next()) {
-            (Some(ip), Some(port)) => ControlAnswer::Elsewhere(format!("http://{ip}:{port}{path}")),
-            _ => ControlAnswer::NotNow("no leader is known"),
+            (Some(ip), Some(port)) => ControlAnswer::Redirect(format!("http://{ip}:{port}{path}")),
+            _ => ControlAnswer::Unavailable("no leader is known"),
         }
     }
 }
--- a/crates/controller/src/delivery.rs
+++ b/crates/controller/src/delivery.rs
@@ -46,7 +46,7 @@
 
 /// How a controller stands to a gateway that lacks a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DeliveryPlace {
+pub enum DeliveryRole {
     /// It is the gateway's home, or of its zone where the home is not.
     Near,
     /// Others are nearer.
@@ -55,7 +55,7 @@
     Unsure,
 }
 
-impl DeliveryPlace {
+impl DeliveryRole {
     /// Time for which the gateway has to lack the configuration first; none where it need not.
     fn delay(self) -> Option<Duration> {
         match self {
@@ -90,7 +90,7 @@
 
     /// Notes the version that the gateway tells of. A lower one than before means that it has
     /// started anew.
-    pub fn note_held(&mut self, held: u64, now: Instant) {
+    pub fn record_reported_version(&mut self, held: u64, now: Instant) {
         if held < self.held {
             *self = Self::new(held, now);
         }
@@ -98,12 +98,12 @@
     }
 
     /// Notes that a version goes out to the gateway.
-    pub fn note_sent(&mut self, version: u64, now: Instant) {
+    pub fn record_sent(&mut self, version: u64, now: Instant) {
         self.sent = Some((version, now));
     }
 
     /// Notes that what was last sent found no room, so that it does not count as on its way.
-    pub fn note_dropped(&mut self) {
+    pub fn record_dropped(&mut self) {
         self.sent = None;
     }
 
@@ -121,7 +121,7 @@
     pub fn is_due(
         &self,
         offer: DeliveryOffer,
-        place: DeliveryPlace,
+        place: DeliveryRole,
         commits: &VersionTimes,
         now: Instant,
     ) -> bool {
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -11,13 +11,13 @@
 };
 use tokio::time::Instant;
 
-use crate::delivery::{DeliveryOffer, DeliveryPlace, DeliveryState};
-use crate::digests::DigestHistory;
-use crate::held::ReleasedRequests;
+use crate::certainty::ConfigCertainty;
+use crate::delivery::{DeliveryOffer, DeliveryRole, DeliveryState};
 use crate::liveness::WorkerUse;
 use crate::metrics::{GatewayLags, WorkerCounts};
+use crate::quarantine::ReleasedRequests;
+use crate::table_hashes::TableHashHistory;
 use crate::tables::TableRequests;
-use crate::telling::TellBasis;
 
 /// Heartbeats without which a worker counts as silent, so that what another writer told under its
 /// name is not held against it any longer.
@@ -68,7 +68,7 @@
     own: DaemonId,
     zone: ZoneId,
     table: WorkerTable,
-    digests: DigestHistory,
+    digests: TableHashHistory,
     tables: TableRequests,
     gateways: BTreeMap<DaemonId, HeardGateway>,
     controllers: BTreeMap<DaemonId, HeardController>,
@@ -85,7 +85,7 @@
             own: own.clone(),
             zone: zone.clone(),
             table: WorkerTable::new(),
-            digests: DigestHistory::default(),
+            digests: TableHashHistory::default(),
             tables: TableRequests::default(),
             gateways: BTreeMap::new(),
             controllers: BTreeMap::new(),
@@ -200,7 +200,7 @@
         let logged_behind = held.is_some_and(|gateway| gateway.logged_behind);
         let mut delivery =
             held.map_or(DeliveryState::new(hello.deployment, now), |gateway| gateway.delivery);
-        delivery.note_held(hello.deployment, now);
+        delivery.record_reported_version(hello.deployment, now);
         let GatewayHello { zone, home, loads, .. } = hello;
         let mismatches = mismatches % most;
         let gateway =
@@ -290,7 +290,7 @@
         let prompt = self.gateways_where(|gateway| self.is_prompt_for(gateway));
         for id in &prompt {
             if let Some(gateway) = self.gateways.get_mut(id) {
-                gateway.delivery.note_sent(version, now);
+                gateway.delivery.record_sent(version, now);
             }
         }
         prompt
@@ -301,30 +301,30 @@
         &mut self,
         to: &DaemonId,
         offer: DeliveryOffer,
-        basis: TellBasis,
+        basis: ConfigCertainty,
         commits: &VersionTimes,
         now: Instant,
     ) -> bool {
         let Some(gateway) = self.gateways.get(to) else { return false };
         let place = match (basis, self.is_prompt_for(gateway)) {
-            (TellBasis::Nothing, _) => return false,
-            (TellBasis::Unconfirmed, _) => DeliveryPlace::Unsure,
-            (TellBasis::Complete, true) => DeliveryPlace::Near,
-            (TellBasis::Complete, false) => DeliveryPlace::Far,
+            (ConfigCertainty::Nothing, _) => return false,
+            (ConfigCertainty::Unconfirmed, _) => DeliveryRole::Unsure,
+            (ConfigCertainty::Complete, true) => DeliveryRole::Near,
+            (ConfigCertainty::Complete, false) => DeliveryRole::Far,
         };
         let Some(gateway) = self.gateways.get_mut(to) else { return false };
         let due = gateway.delivery.is_due(offer, place, commits, now);
         if due {
-            gateway.delivery.note_sent(offer.version, now);
+            gateway.delivery.record_sent(offer.version, now);
         }
         due
     }
 
     /// Notes that a configuration could not be sent to a gateway, so that its next report is
     /// answered with it.
-    pub(crate) fn note_dropped(&mut self, to: &DaemonId) {
+    pub(crate) fn record_dropped(&mut self, to: &DaemonId) {
         if let Some(gateway) = self.gateways.get_mut(to) {
-            gateway.delivery.note_dropped();
+            gateway.delivery.record_dropped();
         }
     }
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -15,24 +15,24 @@
 //!   its leader had committed, or no leader was there to ask.
 
 mod api;
+pub mod certainty;
 mod controller;
 mod core;
 pub mod delivery;
-pub mod digests;
 mod fleet;
-mod held;
 pub mod liveness;
 mod metrics;
-mod news;
 mod orders;
 mod pending;
 mod protocol;
+mod quarantine;
 mod reconcile;
 pub mod records;
 mod sync;
+pub mod table_hashes;
 pub mod tables;
-pub mod telling;
 pub mod voters;
+mod worker_updates;
 
 pub use controller::{Controller, StartControllerError};
 pub use liveness::ProbeOutcome;
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -68,7 +68,7 @@
 
 /// Standing of each worker, kept by who leads.
 #[derive(Debug, Default)]
-pub struct LivenessJudge {
+pub struct LivenessTracker {
     probes: HashMap<WorkerId, ProbeRecord>,
 }
 
@@ -76,7 +76,7 @@
 pub struct LivenessFacts<'a> {
     /// Requests under way at each worker.
     pub uses: &'a BTreeMap<WorkerId, WorkerUse>,
-    /// Workers whose address or name another life has taken, see [`find_ended`].
+    /// Workers whose address or name another life has taken, see [`find_terminated`].
     pub ended: &'a HashSet<WorkerId>,
     /// Time between two registrations of a worker.
     pub heartbeat: Duration,
@@ -86,14 +86,14 @@
 
 /// What was found of one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Judgement {
+pub struct Assessment {
     /// Whether it can take part.
     pub standing: WorkerStanding,
     /// Whether it should be probed now.
     pub probe: bool,
 }
 
-impl LivenessJudge {
+impl LivenessTracker {
     /// Creates a judge that has probed nobody yet.
     pub fn new() -> Self {
         Self::default()
@@ -105,10 +105,10 @@
         entry: &WorkerEntry,
         head: Option<&WorkerId>,
         facts: &LivenessFacts<'_>,
-    ) -> Judgement {
+    ) -> Assessment {
         let probe = self.probes.get(&entry.report.id).copied().unwrap_or_default();
         let silence = facts.now.saturating_duration_since(entry.heard);
-        let settled = |standing| Judgement { standing, probe: false };
+        let settled = |standing| Assessment { standing, probe: false };
         if probe.replaced || facts.ended.contains(&entry.report.id) {
             return settled(WorkerStanding::Dead);
         }
@@ -117,7 +117,7 @@
             // it may be another writer's, and this one may still head a replica.
             let due =
                 probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= PROBE_PAUSE);
-            return Judgement { standing: WorkerStanding::Lost, probe: due && !probe.under_way };
+            return Assessment { standing: WorkerStanding::Lost, probe: due && !probe.under_way };
         }
         if entry.report.gone || entry.report.leaving {
             let ended = silence > GONE_TIME;
@@ -138,18 +138,18 @@
         let due = probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= pause);
         let waits = answered && !still && !due;
         let standing = if unheard { WorkerStanding::Lost } else { WorkerStanding::Usable };
-        Judgement { standing, probe: due && !probe.under_way && !waits }
+        Assessment { standing, probe: due && !probe.under_way && !waits }
     }
 
     /// Notes that a probe goes out.
-    pub fn begin_probe(&mut self, worker: &WorkerId, now: Instant) {
+    pub fn record_probe_sent(&mut self, worker: &WorkerId, now: Instant) {
         let probe = self.probes.entry(worker.clone()).or_default();
         probe.sent = Some(now);
         probe.under_way = true;
     }
 
     /// Notes what a probe found.
-    pub fn end_probe(&mut self, worker: &WorkerId, outcome: ProbeOutcome, now: Instant) {
+    pub fn record_probe_result(&mut self, worker: &WorkerId, outcome: ProbeOutcome, now: Instant) {
         let probe = self.probes.entry(worker.clone()).or_default();
         probe.under_way = false;
         match outcome {
@@ -182,7 +182,7 @@
 }
 
 /// Workers that have ended, because another life registers under their address or name.
-pub fn find_ended(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
+pub fn find_terminated(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
     let mut ended = find_replaced(table, heartbeat);
     let superseded = table.iter().filter(|entry| entry.ended);
     ended.extend(superseded.filter_map(|old| {
--- a/crates/controller/src/orders.rs
+++ b/crates/controller/src/orders.rs
@@ -19,7 +19,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Something that came back from a worker.
-pub(crate) enum WorkerNews {
+pub(crate) enum WorkerEvent {
     Order(ServiceName, OrderTicket, OrderOutcome),
     Probe(WorkerId, ProbeOutcome),
 }
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -6,7 +6,7 @@
 
 /// Reports that are to go out.
 #[derive(Debug, Default)]
-pub(crate) struct PendingNews {
+pub(crate) struct PendingReports {
     /// What workers told this controller.
     pub(crate) own: BTreeMap<WorkerId, WorkerReport>,
     /// What other controllers told.
@@ -15,7 +15,7 @@
     pub(crate) urgent: bool,
 }
 
-impl PendingNews {
+impl PendingReports {
     /// Adds what a worker told this controller.
     pub(crate) fn add_own(&mut self, report: WorkerReport) {
         self.urgent |= report.leaving || report.gone;
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -23,7 +23,7 @@
     /// The configuration cannot be read.
     Unreadable(String),
     /// What was said under a worker's name is not what a worker says.
-    Refused(WorkerId, RecordFault),
+    InvalidRecord(WorkerId, RecordFault),
     /// No such call.
     Unknown,
 }
@@ -32,15 +32,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlAnswer {
     /// It was taken.
-    Taken,
+    Accepted,
     /// The configuration, as it was sent.
     Document(String),
     /// It is not valid, for these reasons.
     Invalid(Vec<String>),
     /// Another daemon answers it.
-    Elsewhere(String),
+    Redirect(String),
     /// It cannot be answered now.
-    NotNow(&'static str),
+    Unavailable(&'static str),
     /// No such call.
     Unknown,
 }
--- a/crates/controller/src/held.rs
+++ b/crates/controller/src/quarantine.rs
@@ -38,11 +38,11 @@
 
 /// Requests that were held when gateways were last told.
 #[derive(Debug, Default)]
-pub(crate) struct HeldLog {
+pub(crate) struct QuarantineLog {
     held: BTreeSet<RequestDigest>,
 }
 
-impl HeldLog {
+impl QuarantineLog {
     /// Logs what has changed since the last call.
     pub(crate) fn note(&mut self, told: &[HeldRequest]) {
         let current = told.iter().filter(|held| held.left_ms > 0);
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -18,11 +18,11 @@
 
 use crate::core::ControllerCore;
 use crate::fleet::FleetState;
-use crate::held::HeldLog;
-use crate::liveness::{LivenessFacts, LivenessJudge, find_ended};
-use crate::orders::{WorkerNews, give_order, probe_worker};
+use crate::liveness::{LivenessFacts, LivenessTracker, find_terminated};
+use crate::orders::{WorkerEvent, give_order, probe_worker};
+use crate::quarantine::QuarantineLog;
 use crate::sync::send_grants;
-use crate::voters::{REPLACED_AFTER, VoterFacts, next_voters, voters_for};
+use crate::voters::{VOTER_REPLACEMENT_TIMEOUT, VoterFacts, next_voters, voters_for};
 
 /// Longest pause between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
@@ -54,13 +54,13 @@
 /// What a leader keeps for the length of its term.
 struct Leadership {
     term: Term,
-    judge: LivenessJudge,
+    judge: LivenessTracker,
     replicas: BTreeMap<ServiceName, ReplicaController>,
     times: LeaderTimes,
     view_number: u64,
     view_due: Instant,
     withheld: Vec<WorkerId>,
-    held_log: HeldLog,
+    held_log: QuarantineLog,
     voters_due: Instant,
     /// Controllers that were made voters lately, and until when they are left alone.
     admitted: BTreeMap<DaemonId, Instant>,
@@ -69,7 +69,7 @@
 }
 
 /// Acts as leader whenever this daemon leads, until the process ends.
-pub(crate) async fn keep_fleet(core: Arc<ControllerCore>, news: flume::Receiver<WorkerNews>) {
+pub(crate) async fn run_leader(core: Arc<ControllerCore>, news: flume::Receiver<WorkerEvent>) {
     let mut terms: TermState<Leadership> = TermState::new();
     let mut led = false;
     loop {
@@ -98,15 +98,15 @@
     }
 }
 
-fn take_news(news: WorkerNews, held: Option<&mut Leadership>) {
+fn take_news(news: WorkerEvent, held: Option<&mut Leadership>) {
     let now = Instant::now();
     match news {
-        WorkerNews::Probe(worker, outcome) => {
+        WorkerEvent::Probe(worker, outcome) => {
             if let Some(held) = held {
-                held.judge.end_probe(&worker, outcome, now);
+                held.judge.record_probe_result(&worker, outcome, now);
             }
         }
-        WorkerNews::Order(service, ticket, outcome) => {
+        WorkerEvent::Order(service, ticket, outcome) => {
             log::info!(
                 "event=order_answered worker={} order={} replica={} outcome={outcome:?}",
                 *ticket.worker,
@@ -142,7 +142,7 @@
     let window = Duration::from_secs(core.settings.load_window_s.into());
     Leadership {
         term: view.term,
-        judge: LivenessJudge::new(),
+        judge: LivenessTracker::new(),
         replicas: BTreeMap::new(),
         times: LeaderTimes {
             // At the first start no leader was there before that could have ordered anything.
@@ -153,7 +153,7 @@
         view_number: 0,
         view_due: now,
         withheld: Vec::new(),
-        held_log: HeldLog::default(),
+        held_log: QuarantineLog::default(),
         voters_due: now,
         admitted: BTreeMap::new(),
         logged: BTreeMap::new(),
@@ -170,7 +170,7 @@
     held.judge.tidy(fleet.table());
     let uses = fleet.uses(now);
     let heartbeat = core.heartbeat();
-    let ended = find_ended(fleet.table(), heartbeat);
+    let ended = find_terminated(fleet.table(), heartbeat);
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat, now };
     let warming_up = is_first_start(core, &fleet);
     let mut standings: HashMap<WorkerId, WorkerStanding> = HashMap::new();
@@ -186,7 +186,7 @@
         standings.insert(worker.clone(), judgement.standing);
     }
     for (worker, address) in probes {
-        held.judge.begin_probe(&worker, now);
+        held.judge.record_probe_sent(&worker, now);
         spawn_probe(core, worker, address);
     }
     let mut withheld: Vec<WorkerId> = standings
@@ -286,7 +286,7 @@
     let own = core.links().id();
     let (present, mut lost_disks) = {
         let fleet = core.fleet();
-        (fleet.controllers(REPLACED_AFTER, now), fleet.lost_disks())
+        (fleet.controllers(VOTER_REPLACEMENT_TIMEOUT, now), fleet.lost_disks())
     };
     // A voter that was just admitted says that its disk is lost until it has caught up.
     held.admitted.retain(|_, until| *until > now);
@@ -324,7 +324,7 @@
         let outcome = probe_worker(&*core.protocol, &worker, &address).await;
         core.metrics.count_probe();
         log::info!("event=worker_probed worker={} outcome={outcome:?}", *worker);
-        let _ = core.news.send(WorkerNews::Probe(worker, outcome));
+        let _ = core.news.send(WorkerEvent::Probe(worker, outcome));
     });
 }
 
@@ -334,6 +334,6 @@
     tokio::spawn(async move {
         let outcome = give_order(&*core.protocol, &ticket, *term).await;
         core.metrics.count_order(&ticket.order, outcome);
-        let _ = core.news.send(WorkerNews::Order(service, ticket, outcome));
+        let _ = core.news.send(WorkerEvent::Order(service, ticket, outcome));
     });
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -24,10 +24,10 @@
     OutOfRange,
     /// It is none of the words that stand there.
     #[error("is no known word")]
-    Unnamed,
+    UnknownValue,
     /// The worker of this name tells of its start, and this record does not.
     #[error("is missing, though this worker has told it")]
-    UntoldBirth,
+    MissingStartTime,
     /// The configuration in force does not name the service.
     #[error("is not named by the configuration in force")]
     UnknownService,
@@ -41,8 +41,8 @@
             Self::Missing => "missing",
             Self::WrongType => "wrong_type",
             Self::OutOfRange => "out_of_range",
-            Self::Unnamed => "unnamed",
-            Self::UntoldBirth => "untold_birth",
+            Self::UnknownValue => "unnamed",
+            Self::MissingStartTime => "untold_birth",
             Self::UnknownService => "unknown_service",
         }
     }
@@ -69,11 +69,11 @@
 /// # Errors
 ///
 /// Fails where that worker tells of its start and the call does not.
-pub fn check_birth(worker: &WorkerId, table: &WorkerTable) -> Result<(), RecordFault> {
+pub fn check_start(worker: &WorkerId, table: &WorkerTable) -> Result<(), RecordFault> {
     let newest = table.newest_of(worker.name());
     let told = newest.is_some_and(|entry| entry.report.id.incarnation().is_some());
     if told && worker.incarnation().is_none() {
-        return Err(RecordFault::new("born", RecordProblem::UntoldBirth));
+        return Err(RecordFault::new("born", RecordProblem::MissingStartTime));
     }
     Ok(())
 }
@@ -88,7 +88,7 @@
     table: &WorkerTable,
     deployment: Option<&Deployment>,
 ) -> Result<(), RecordFault> {
-    check_birth(&report.id, table)?;
+    check_start(&report.id, table)?;
     let named = deployment.is_none_or(|deployment| {
         deployment.services.iter().any(|service| service.name == report.service)
     });
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -14,9 +14,9 @@
 use hollowbarrow_state::DeploymentState;
 use tokio::time::Instant;
 
+use crate::certainty::ConfigCertainty;
 use crate::core::ControllerCore;
 use crate::delivery::DeliveryOffer;
-use crate::telling::TellBasis;
 
 /// Pause between two hellos to the leader, which needs to know what gateways have under way.
 const LEADER_INTERVAL: Duration = Duration::from_millis(75);
@@ -102,7 +102,7 @@
         let version = core.log.read(DeploymentState::version);
         core.commits().note(version, now);
         log::info!("event=configuration_committed version={version}");
-        if core.tell_basis(now) != TellBasis::Complete {
+        if core.tell_basis(now) != ConfigCertainty::Complete {
             // What this controller holds may be older than what is in force.
             continue;
         }
@@ -186,7 +186,7 @@
     if !core.links().send_deployment(gateway, deployment) {
         let version = deployment.version();
         log::warn!("event=configuration_dropped gateway={} version={version}", **gateway);
-        core.fleet().note_dropped(gateway);
+        core.fleet().record_dropped(gateway);
     }
 }
 
--- a/crates/controller/src/digests.rs
+++ b/crates/controller/src/table_hashes.rs
@@ -13,11 +13,11 @@
 
 /// Digests of the last moments.
 #[derive(Clone, Debug, Default)]
-pub struct DigestHistory {
+pub struct TableHashHistory {
     passed: VecDeque<(u64, Instant)>,
 }
 
-impl DigestHistory {
+impl TableHashHistory {
     /// Notes the digest after news went out.
     pub fn note(&mut self, digest: u64, now: Instant) {
         self.drop_old(now);
--- a/crates/controller/src/voters.rs
+++ b/crates/controller/src/voters.rs
@@ -21,7 +21,7 @@
 /// Voters below which none is removed: of fewer, each is needed.
 const LEAST_VOTERS: usize = 3;
 /// Silence after which a voter is replaced, where another controller is there.
-pub const REPLACED_AFTER: Duration = Duration::from_secs(4);
+pub const VOTER_REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What is known when voters are looked at.
 #[derive(Clone, Debug)]
--- a/crates/controller/src/news.rs
+++ b/crates/controller/src/worker_updates.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::core::ControllerCore;
-use crate::pending::PendingNews;
+use crate::pending::PendingReports;
 
 /// Time for which news are gathered.
 const GATHER_TIME: Duration = Duration::from_millis(15);
@@ -18,7 +18,7 @@
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends news out until the process ends.
-pub(crate) async fn tell_news(core: Arc<ControllerCore>) {
+pub(crate) async fn publish_updates(core: Arc<ControllerCore>) {
     loop {
         tokio::select! {
             () = core.news_due.notified() => {
@@ -34,7 +34,7 @@
     }
 }
 
-fn send_news(core: &ControllerCore, news: PendingNews) {
+fn send_news(core: &ControllerCore, news: PendingReports) {
     if news.own.is_empty() && news.relayed.is_empty() {
         return;
     }
--- a/crates/controller/tests/delivery.rs
+++ b/crates/controller/tests/delivery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_controller::delivery::{DeliveryOffer, DeliveryPlace, DeliveryState};
+use hollowbarrow_controller::delivery::{DeliveryOffer, DeliveryRole, DeliveryState};
 use hollowbarrow_fleet::VersionTimes;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -40,9 +40,9 @@
             reported = now;
             let newest = commits.newest();
             lags.push(state.lag(&commits, now));
-            if state.is_due(offer(newest), DeliveryPlace::Far, &commits, now) {
-                state.note_sent(newest, now);
-                state.note_held(newest, now);
+            if state.is_due(offer(newest), DeliveryRole::Far, &commits, now) {
+                state.record_sent(newest, now);
+                state.record_reported_version(newest, now);
             }
         }
     }
@@ -52,12 +52,12 @@
 
 /// A gateway holds version 1 and version 2 was committed 100 ms after it was first heard of.
 #[rstest]
-#[case::home_at_once(DeliveryPlace::Near, 100, true)]
-#[case::others_wait(DeliveryPlace::Far, 480, false)]
-#[case::others_step_in(DeliveryPlace::Far, 520, true)]
-#[case::unsure_ones_leave_time(DeliveryPlace::Unsure, 1080, false)]
-#[case::unsure_ones_step_in(DeliveryPlace::Unsure, 1120, true)]
-fn is_due_after_commit(#[case] place: DeliveryPlace, #[case] at: u32, #[case] due: bool) {
+#[case::home_at_once(DeliveryRole::Near, 100, true)]
+#[case::others_wait(DeliveryRole::Far, 480, false)]
+#[case::others_step_in(DeliveryRole::Far, 520, true)]
+#[case::unsure_ones_leave_time(DeliveryRole::Unsure, 1080, false)]
+#[case::unsure_ones_step_in(DeliveryRole::Unsure, 1120, true)]
+fn is_due_after_commit(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(1, start);
@@ -73,13 +73,13 @@
     commits.note(1, start);
     let mut state = DeliveryState::new(1, start);
     let restarted = start + MS * 9000;
-    state.note_held(0, restarted);
-    assert!(state.is_due(offer(1), DeliveryPlace::Near, &commits, restarted));
+    state.record_reported_version(0, restarted);
+    assert!(state.is_due(offer(1), DeliveryRole::Near, &commits, restarted));
     assert!(
-        !state.is_due(offer(1), DeliveryPlace::Far, &commits, restarted + MS * 300),
+        !state.is_due(offer(1), DeliveryRole::Far, &commits, restarted + MS * 300),
         "its home comes first"
     );
-    assert!(state.is_due(offer(1), DeliveryPlace::Far, &commits, restarted + MS * 500));
+    assert!(state.is_due(offer(1), DeliveryRole::Far, &commits, restarted + MS * 500));
 }
 
 #[rstest]
@@ -88,22 +88,22 @@
     let mut commits = VersionTimes::default();
     commits.note(2, start);
     let mut state = DeliveryState::new(1, start);
-    state.note_sent(2, start);
+    state.record_sent(2, start);
     assert!(
-        !state.is_due(offer(2), DeliveryPlace::Near, &commits, start + MS * 75),
+        !state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 75),
         "it is on its way"
     );
-    assert!(state.is_due(offer(2), DeliveryPlace::Near, &commits, start + MS * 300), "it was lost");
-    state.note_sent(2, start + MS * 300);
-    state.note_dropped();
+    assert!(state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 300), "it was lost");
+    state.record_sent(2, start + MS * 300);
+    state.record_dropped();
     assert!(
-        state.is_due(offer(2), DeliveryPlace::Near, &commits, start + MS * 301),
+        state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 301),
         "it found no room"
     );
-    state.note_sent(2, start + MS * 301);
+    state.record_sent(2, start + MS * 301);
     commits.note(3, start + MS * 302);
     assert!(
-        state.is_due(offer(3), DeliveryPlace::Near, &commits, start + MS * 303),
+        state.is_due(offer(3), DeliveryRole::Near, &commits, start + MS * 303),
         "a newer one does not wait"
     );
 }
@@ -111,17 +111,17 @@
 /// Copies of a configuration with 7,000 routes went out every 250 ms, from up to six controllers at
 /// once, while the first one took longer than that: they held each other up.
 #[rstest]
-#[case::second_copy_from_home(DeliveryPlace::Near, 1_000, false)]
-#[case::second_copy_once_the_first_is_late(DeliveryPlace::Near, 1_300, true)]
-#[case::copy_of_another_zone(DeliveryPlace::Far, 1_300, false)]
-#[case::copy_of_another_zone_once_late(DeliveryPlace::Far, 1_500, true)]
-fn is_due_of_large_one(#[case] place: DeliveryPlace, #[case] at: u32, #[case] due: bool) {
+#[case::second_copy_from_home(DeliveryRole::Near, 1_000, false)]
+#[case::second_copy_once_the_first_is_late(DeliveryRole::Near, 1_300, true)]
+#[case::copy_of_another_zone(DeliveryRole::Far, 1_300, false)]
+#[case::copy_of_another_zone_once_late(DeliveryRole::Far, 1_500, true)]
+fn is_due_of_large_one(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(2, start);
     let mut state = DeliveryState::new(1, start);
-    if place == DeliveryPlace::Near {
-        state.note_sent(2, start);
+    if place == DeliveryRole::Near {
+        state.record_sent(2, start);
     }
     let large = DeliveryOffer { version: 2, bytes: 1_000_000 };
     assert_eq!(state.is_due(large, place, &commits, start + MS * at), due);
--- a/crates/controller/tests/liveness.rs
+++ b/crates/controller/tests/liveness.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowbarrow_controller::liveness::{LivenessFacts, LivenessJudge, ProbeOutcome, find_ended};
+use hollowbarrow_controller::liveness::{
+    LivenessFacts, LivenessTracker, ProbeOutcome, find_terminated,
+};
 use hollowbarrow_fleet::{WorkerStanding, WorkerTable};
 use hollowbarrow_schema::{Incarnation, WorkerId, WorkerReport};
 use rstest::rstest;
@@ -35,7 +37,7 @@
 fn find_ended_lives(#[case] registrations: &[(u64, &str, u64)], #[case] expected: &[&str]) {
     let table = table_after(Instant::now(), registrations);
     let mut ended: Vec<String> =
-        find_ended(&table, HEARTBEAT).iter().map(ToString::to_string).collect();
+        find_terminated(&table, HEARTBEAT).iter().map(ToString::to_string).collect();
     ended.sort();
     assert_eq!(ended, expected);
 }
@@ -51,12 +53,12 @@
     let table = table_after(start, &[(0, "w", 1)]);
     let worker = WorkerId::from("w");
     let now = start + HEARTBEAT * 2;
-    let mut judge = LivenessJudge::new();
+    let mut judge = LivenessTracker::new();
     for outcome in outcomes {
-        judge.begin_probe(&worker, now);
-        judge.end_probe(&worker, *outcome, now);
+        judge.record_probe_sent(&worker, now);
+        judge.record_probe_result(&worker, *outcome, now);
     }
-    let (uses, ended) = (BTreeMap::new(), find_ended(&table, HEARTBEAT));
+    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
     let entry = table.get(&worker).expect("it has registered");
     assert_eq!(judge.judge(entry, None, &facts).standing, expected);
@@ -82,12 +84,12 @@
         table.merge(report(next.as_str(), beat + 1), start + HEARTBEAT * (beat as u32 + 1));
     }
     let now = start + HEARTBEAT * (beats as u32 + 1);
-    let mut judge = LivenessJudge::new();
+    let mut judge = LivenessTracker::new();
     for outcome in outcomes {
-        judge.begin_probe(&former, now);
-        judge.end_probe(&former, *outcome, now);
+        judge.record_probe_sent(&former, now);
+        judge.record_probe_result(&former, *outcome, now);
     }
-    let (uses, ended) = (BTreeMap::new(), find_ended(&table, HEARTBEAT));
+    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
     let entry = table.get(&former).expect("it is remembered");
     assert_eq!(judge.judge(entry, None, &facts).standing, expected);
@@ -101,13 +103,13 @@
     let start = Instant::now();
     let former = WorkerId::of_life("w", Some(Incarnation(5)));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
-    let mut judge = LivenessJudge::new();
-    judge.begin_probe(&former, start);
-    judge.end_probe(&former, ProbeOutcome::Replaced, start);
+    let mut judge = LivenessTracker::new();
+    judge.record_probe_sent(&former, start);
+    judge.record_probe_result(&former, ProbeOutcome::Replaced, start);
     let recounted = WorkerReport { recount: Some(1), ..report(former.as_str(), 2) };
     table.merge(recounted, start + HEARTBEAT);
     judge.tidy(&table);
-    let (uses, ended) = (BTreeMap::new(), find_ended(&table, HEARTBEAT));
+    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
     let now = start + HEARTBEAT;
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
     let entry = table.get(&former).expect("it is there");
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollowbarrow_controller::RecordProblem;
-use hollowbarrow_controller::records::{check_birth, check_report};
+use hollowbarrow_controller::records::{check_report, check_start};
 use hollowbarrow_fleet::{CallerLimits, Deployment, Service, WorkerTable};
 use hollowbarrow_schema::{Incarnation, ServiceName, WorkerId};
 use rstest::rstest;
@@ -53,8 +53,8 @@
     if let Some(held) = held {
         table.merge(report(&life(held), 1), Instant::now());
     }
-    let fault = check_birth(&life(born), &table).err().map(|fault| fault.problem);
-    assert_eq!(fault, (!sound).then_some(RecordProblem::UntoldBirth));
+    let fault = check_start(&life(born), &table).err().map(|fault| fault.problem);
+    assert_eq!(fault, (!sound).then_some(RecordProblem::MissingStartTime));
 }
 
 #[rstest]
--- a/crates/controller/tests/tables.rs
+++ b/crates/controller/tests/tables.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_controller::digests::DigestHistory;
+use hollowbarrow_controller::table_hashes::TableHashHistory;
 use hollowbarrow_controller::tables::TableRequests;
 use hollowbarrow_schema::DaemonId;
 use rstest::rstest;
@@ -24,7 +24,7 @@
     #[case] expected: bool,
 ) {
     let start = Instant::now();
-    let mut digests = DigestHistory::default();
+    let mut digests = TableHashHistory::default();
     for (at, digest) in told {
         digests.note(*digest, start + MS * *at);
     }
--- a/crates/daemon/src/digest.rs
+++ b/crates/daemon/src/digest.rs
@@ -18,7 +18,7 @@
     DaemonId, GoneDigest, LogIndex, NodeId, ObserverDigest, PeerMessage, PeerSettings,
     ReplicaDigest, ReplicaSet, Term, ZoneId,
 };
-use hollowbarrow_zone::{choose_observers, own_members};
+use hollowbarrow_zone::{choose_observers, members_without_witness};
 use tokio::time::Instant;
 
 use crate::core::DaemonCore;
@@ -215,7 +215,7 @@
     let now = Instant::now();
     let within = core.lease() * 2;
     let knows = zone == core.zone();
-    let members: Vec<&DaemonId> = own_members(zone, &core.settings.peers)
+    let members: Vec<&DaemonId> = members_without_witness(zone, &core.settings.peers)
         .into_iter()
         .map(|peer| &peer.id)
         .filter(|member| *member == core.id() || !knows || fleet.is_heard(member, within, now))
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -15,7 +15,7 @@
     ZoneTable,
 };
 use hollowbarrow_state::ConfigState;
-use hollowbarrow_zone::{LeaseTable, NodeSighting};
+use hollowbarrow_zone::{LeaseTable, NodeObservation};
 use tokio::time::Instant;
 
 use crate::digest::{keep_set, list_set};
@@ -114,7 +114,7 @@
         let leases = &self.leases;
         let before = self.nodes.len();
         self.nodes.retain(|id, node| {
-            let seen = leases.sighting(id).is_some_and(|s| now < s.seen + FORGET_AFTER);
+            let seen = leases.observation(id).is_some_and(|s| now < s.seen + FORGET_AFTER);
             node.in_list || seen || now < node.listed_at + FORGET_AFTER
         });
         self.listed_once = true;
@@ -124,9 +124,9 @@
     }
 
     /// Takes a sighting and notes returns after a loss or restart.
-    pub(crate) fn take_sighting(&mut self, id: &NodeId, sighting: NodeSighting, now: Instant) {
+    pub(crate) fn take_sighting(&mut self, id: &NodeId, sighting: NodeObservation, now: Instant) {
         let lease = self.leases.lease();
-        let known = self.leases.sighting(id);
+        let known = self.leases.observation(id);
         let was_lost = match known {
             Some(known) => known.start != sighting.start || known.seen + lease < sighting.seen,
             None => self.gone.contains_key(id),
@@ -141,7 +141,7 @@
     /// Notes that nothing listens at a node.
     pub(crate) fn take_loss(&mut self, id: &NodeId, at: Instant) {
         self.leases.observe_loss(id, at);
-        if self.leases.sighting(id).is_none() {
+        if self.leases.observation(id).is_none() {
             self.gone.insert(id.clone(), at);
         }
     }
@@ -159,7 +159,7 @@
         // Without an echo nothing is known about when the digest left, so its ages mean nothing.
         if let Some(base) = base {
             for node in &digest.nodes {
-                let known = self.leases.sighting(&node.n);
+                let known = self.leases.observation(&node.n);
                 let restarted = known.is_some_and(|known| known.start != node.s);
                 let returned = known.is_none() && self.gone.contains_key(&node.n);
                 self.leases.observe_digest(node, base, held);
@@ -174,7 +174,7 @@
                 let age = Duration::from_millis(u64::from(node.a));
                 let Some(at) = (base + held).checked_sub(age) else { continue };
                 self.leases.observe_loss(&node.n, at);
-                if self.leases.sighting(&node.n).is_none() {
+                if self.leases.observation(&node.n).is_none() {
                     self.gone.entry(node.n.clone()).or_insert(at);
                 }
             }
@@ -254,7 +254,7 @@
     /// Why a node cannot be used now, if it cannot.
     pub(crate) fn unusable(&self, id: &NodeId, node: &KnownNode, now: Instant) -> Option<String> {
         let lease = self.leases.lease();
-        let Some(sighting) = self.leases.sighting(id) else {
+        let Some(sighting) = self.leases.observation(id) else {
             let gone = self.gone.contains_key(id);
             let why = if gone { "nothing listens at it" } else { "it was not seen yet" };
             return Some(why.to_owned());
@@ -288,7 +288,7 @@
             .filter(|(_, node)| node.listed.zone == *zone && node.listed.service.is_none())
             .map(|(id, node)| {
                 let labels = config.labels().get(id).map_or(&none, |labels| &labels.value);
-                let sighting = self.leases.sighting(id);
+                let sighting = self.leases.observation(id);
                 let held_by = sighting.and_then(|s| s.owner.as_ref()).filter(|held| *held != owner);
                 let foreign = held_by.or(self.foreign.get(id));
                 let unmanaged = managed
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -5,7 +5,7 @@
 
 use hollowbarrow_schema::{NodeId, NodeReport, NodeState, StartId};
 use hollowbarrow_upstream::{EngineClient, ProbeNodeError, SendRequestError, list_nodes};
-use hollowbarrow_zone::{NodeSighting, choose_observers, observing_members};
+use hollowbarrow_zone::{NodeObservation, choose_observers, observing_members};
 use tokio::time::Instant;
 
 use crate::core::DaemonCore;
@@ -108,8 +108,8 @@
     core.fleet().nodes.get(node).is_some_and(|node| node.listed.service.is_some())
 }
 
-fn to_sighting(report: NodeReport, asked: Instant) -> NodeSighting {
-    NodeSighting {
+fn to_sighting(report: NodeReport, asked: Instant) -> NodeObservation {
+    NodeObservation {
         start: report.start,
         epoch: report.epoch,
         state: report.state,
--- a/crates/daemon/src/operator_view.rs
+++ b/crates/daemon/src/operator_view.rs
@@ -53,7 +53,7 @@
             .map(|(id, node)| {
                 let labels = config.labels().get(id);
                 let holder = fleet.allocations().find(|(_, a)| a.members.contains(id));
-                let sighting = fleet.leases.sighting(id);
+                let sighting = fleet.leases.observation(id);
                 let observed = match (fleet.unusable(id, node, now), sighting) {
                     (Some(cause), _) => cause,
                     (None, Some(sighting)) => {
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -137,7 +137,7 @@
     pub(crate) fn until(&self, fleet: &FleetView, now: Instant) -> Option<Instant> {
         match &self.target {
             RouteTarget::Replica(allocation) => fleet.leases.serving_until(allocation, now).ok(),
-            RouteTarget::Service(node) => fleet.leases.node_until(node, now),
+            RouteTarget::Service(node) => fleet.leases.node_serving_until(node, now),
             // Nothing observes an outside endpoint; its own refusals speak for it.
             RouteTarget::Endpoint => Some(now + fleet.leases.lease()),
         }
@@ -165,7 +165,7 @@
         let (reported, reported_at) = match &self.target {
             RouteTarget::Replica(allocation) => fleet.leases.load(allocation).unwrap_or((0, now)),
             RouteTarget::Service(node) => {
-                fleet.leases.sighting(node).map_or((0, now), |s| (s.load, s.seen))
+                fleet.leases.observation(node).map_or((0, now), |s| (s.load, s.seen))
             }
             RouteTarget::Endpoint => (0, now),
         };
--- a/crates/daemon/src/table_change.rs
+++ b/crates/daemon/src/table_change.rs
@@ -76,7 +76,7 @@
 /// Load orders for the members of a replica that have not taken theirs.
 pub(crate) fn load_orders(fleet: &FleetView, allocation: &Allocation) -> Vec<NodeOrderEntry> {
     let wants_order = |member: &NodeId| {
-        fleet.leases.sighting(member).is_some_and(|sighting| sighting.epoch < allocation.epoch)
+        fleet.leases.observation(member).is_some_and(|sighting| sighting.epoch < allocation.epoch)
     };
     allocation
         .members
@@ -100,6 +100,6 @@
 /// A drain order for a replica's head, unless it drains already.
 pub(crate) fn drain_order(fleet: &FleetView, allocation: &Allocation) -> Option<NodeOrderEntry> {
     let head = allocation.head();
-    let ready = fleet.leases.sighting(head).is_some_and(|s| s.state == NodeState::Ready);
+    let ready = fleet.leases.observation(head).is_some_and(|s| s.state == NodeState::Ready);
     ready.then(|| (head.clone(), allocation.epoch, NodeOrder::Drain))
 }
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -202,7 +202,7 @@
         let slow = matches!(self.stages.get(&name), Some(ReplicaStage::Loading(life))
             if now.saturating_duration_since(life.entered()) > load_limit);
         let changed = allocation.members.iter().zip(&allocation.starts).any(|(member, start)| {
-            fleet.leases.sighting(member).is_some_and(|sighting| {
+            fleet.leases.observation(member).is_some_and(|sighting| {
                 sighting.start != *start || sighting.epoch != allocation.epoch
             })
         });
@@ -222,7 +222,7 @@
                     .members
                     .iter()
                     .map(|member| {
-                        let sighting = fleet.leases.sighting(member)?;
+                        let sighting = fleet.leases.observation(member)?;
                         let ready = sighting.state == NodeState::Ready
                             && sighting.epoch == allocation.epoch;
                         ready.then_some(sighting.start)
@@ -247,7 +247,7 @@
             let settled_at = life.entered() + lease * 2;
             let idle = fleet
                 .leases
-                .sighting(allocation.head())
+                .observation(allocation.head())
                 .is_none_or(|sighting| sighting.load == 0 && sighting.seen > settled_at);
             if (now > settled_at && idle) || since > limit {
                 drained.insert(name);
@@ -285,7 +285,7 @@
             .iter()
             .filter(|(id, node)| node.listed.zone == *core.zone() && !members.contains(id))
             .filter_map(|(id, _)| {
-                let sighting = fleet.leases.sighting(id)?;
+                let sighting = fleet.leases.observation(id)?;
                 let ours = sighting.owner.as_ref() == Some(&core.settings.owner);
                 let fresh = now.saturating_duration_since(sighting.seen) < core.lease();
                 (ours && fresh && sighting.state != NodeState::Idle)
--- a/crates/zone/src/lease.rs
+++ b/crates/zone/src/lease.rs
@@ -17,7 +17,7 @@
 
 /// What a node said of itself, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NodeSighting {
+pub struct NodeObservation {
     /// Start of the node's process.
     pub start: StartId,
     /// Epoch of the last order that it took.
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     lease: Duration,
-    sightings: HashMap<NodeId, NodeSighting>,
+    sightings: HashMap<NodeId, NodeObservation>,
     replicas: HashMap<NodeId, ReplicaSighting>,
 }
 
@@ -100,7 +100,7 @@
     }
 
     /// Latest sighting of a node.
-    pub fn sighting(&self, node: &NodeId) -> Option<&NodeSighting> {
+    pub fn observation(&self, node: &NodeId) -> Option<&NodeObservation> {
         self.sightings.get(node)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Takes a sighting unless a later one is known.
-    pub fn observe(&mut self, node: &NodeId, sighting: NodeSighting) {
+    pub fn observe(&mut self, node: &NodeId, sighting: NodeObservation) {
         let known = self.sightings.get(node);
         if known.is_some_and(|known| known.seen > sighting.seen) {
             return;
@@ -132,7 +132,7 @@
     pub fn observe_digest(&mut self, digest: &NodeDigest, base: Instant, lead: Duration) {
         let age = Duration::from_millis(u64::from(digest.a));
         let Some(seen) = (base + lead).checked_sub(age) else { return };
-        let sighting = NodeSighting {
+        let sighting = NodeObservation {
             start: digest.s,
             epoch: digest.e,
             state: digest.t,
@@ -165,7 +165,7 @@
     }
 
     /// Until when a node that is no member of a replica may be given requests.
-    pub fn node_until(&self, node: &NodeId, now: Instant) -> Option<Instant> {
+    pub fn node_serving_until(&self, node: &NodeId, now: Instant) -> Option<Instant> {
         let own = self.sightings.get(node).filter(|s| s.state == NodeState::Ready);
         let told = self.replicas.get(node).filter(|replica| *replica.epoch == 0);
         let seen = own.map(|s| s.seen).max(told.map(|replica| replica.seen))?;
--- a/crates/zone/src/lib.rs
+++ b/crates/zone/src/lib.rs
@@ -16,15 +16,15 @@
 mod authority;
 mod config;
 mod lease;
-mod life;
+mod lifecycle;
 mod observers;
 mod stages;
 
 pub use authority::{AuthorityMember, TableStanding, TableStore};
 pub use config::AuthorityConfig;
-pub use lease::{LeaseTable, NodeSighting, ServingRefusal};
-pub use life::{
-    Draining, Failed, Forming, LifeState, Loading, Ready, Released, ReplicaLife, Serving,
+pub use lease::{LeaseTable, NodeObservation, ServingRefusal};
+pub use lifecycle::{
+    Draining, Failed, Forming, LifecycleState, Loading, Ready, Released, ReplicaLifecycle, Serving,
 };
-pub use observers::{choose_observers, observing_members, own_members, zone_members};
+pub use observers::{choose_observers, members_without_witness, observing_members, zone_members};
 pub use stages::{LoadedReplica, ReplicaName, ReplicaStage, ReplicaStages};
--- a/crates/zone/src/life.rs
+++ b/crates/zone/src/lifecycle.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// A state of the life cycle.
-pub trait LifeState {
+pub trait LifecycleState {
     /// Name of the state in logs and status.
     const NAME: &'static str;
 }
@@ -21,7 +21,7 @@
         #[derive(Clone, Copy, Debug)]
         pub struct $state;
 
-        impl LifeState for $state {
+        impl LifecycleState for $state {
             const NAME: &'static str = $name;
         }
     )+};
@@ -46,15 +46,15 @@
 
 /// A replica in one state of its life.
 #[derive(Clone, Debug)]
-pub struct ReplicaLife<S> {
+pub struct ReplicaLifecycle<S> {
     epoch: Epoch,
     entered: Instant,
     state: PhantomData<S>,
 }
 
-impl<S: LifeState> ReplicaLife<S> {
-    fn enter<N: LifeState>(self, now: Instant) -> ReplicaLife<N> {
-        ReplicaLife { epoch: self.epoch, entered: now, state: PhantomData }
+impl<S: LifecycleState> ReplicaLifecycle<S> {
+    fn enter<N: LifecycleState>(self, now: Instant) -> ReplicaLifecycle<N> {
+        ReplicaLifecycle { epoch: self.epoch, entered: now, state: PhantomData }
     }
 
     /// Epoch of the replica's orders.
@@ -73,54 +73,54 @@
     }
 
     /// A member was lost, or loading took too long.
-    pub fn fail(self, now: Instant) -> ReplicaLife<Failed> {
+    pub fn fail(self, now: Instant) -> ReplicaLifecycle<Failed> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Forming> {
+impl ReplicaLifecycle<Forming> {
     /// Starts the life of a replica that the authority has chosen.
     pub fn new(allocation: &Allocation, now: Instant) -> Self {
         Self { epoch: allocation.epoch, entered: now, state: PhantomData }
     }
 
     /// A majority of the zone's daemons knows the replica; its members get their orders.
-    pub fn order_loading(self, now: Instant) -> ReplicaLife<Loading> {
+    pub fn order_loading(self, now: Instant) -> ReplicaLifecycle<Loading> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Loading> {
+impl ReplicaLifecycle<Loading> {
     /// Every member has loaded under the replica's epoch.
-    pub fn finish_loading(self, now: Instant) -> ReplicaLife<Ready> {
+    pub fn finish_loading(self, now: Instant) -> ReplicaLifecycle<Ready> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Ready> {
+impl ReplicaLifecycle<Ready> {
     /// The members' heartbeats are fresh.
-    pub fn begin_serving(self, now: Instant) -> ReplicaLife<Serving> {
+    pub fn begin_serving(self, now: Instant) -> ReplicaLifecycle<Serving> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Serving> {
+impl ReplicaLifecycle<Serving> {
     /// The replica is to give up its nodes.
-    pub fn begin_draining(self, now: Instant) -> ReplicaLife<Draining> {
+    pub fn begin_draining(self, now: Instant) -> ReplicaLifecycle<Draining> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Draining> {
+impl ReplicaLifecycle<Draining> {
     /// Nothing is in flight any more, or the limit has passed.
-    pub fn release(self, now: Instant) -> ReplicaLife<Released> {
+    pub fn release(self, now: Instant) -> ReplicaLifecycle<Released> {
         self.enter(now)
     }
 }
 
-impl ReplicaLife<Failed> {
+impl ReplicaLifecycle<Failed> {
     /// The members that are left are free.
-    pub fn release(self, now: Instant) -> ReplicaLife<Released> {
+    pub fn release(self, now: Instant) -> ReplicaLifecycle<Released> {
         self.enter(now)
     }
 }
--- a/crates/zone/src/observers.rs
+++ b/crates/zone/src/observers.rs
@@ -27,7 +27,10 @@
 }
 
 /// Members of a zone's authority that belong to the zone, without a witness of another.
-pub fn own_members<'a>(zone: &ZoneId, peers: &'a [PeerSettings]) -> Vec<&'a PeerSettings> {
+pub fn members_without_witness<'a>(
+    zone: &ZoneId,
+    peers: &'a [PeerSettings],
+) -> Vec<&'a PeerSettings> {
     let members = zone_members(zone, peers);
     peers.iter().filter(|peer| peer.zone == *zone && members.contains(&peer.id)).collect()
 }
@@ -38,8 +41,10 @@
     peers: &'a [PeerSettings],
     is_there: impl Fn(&DaemonId) -> bool,
 ) -> Vec<&'a DaemonId> {
-    let there: Vec<&PeerSettings> =
-        own_members(zone, peers).into_iter().filter(|peer| is_there(&peer.id)).collect();
+    let there: Vec<&PeerSettings> = members_without_witness(zone, peers)
+        .into_iter()
+        .filter(|peer| is_there(&peer.id))
+        .collect();
     let control = there.iter().any(|peer| peer.control);
     there.into_iter().filter(|peer| !control || peer.control).map(|peer| &peer.id).collect()
 }
--- a/crates/zone/src/stages.rs
+++ b/crates/zone/src/stages.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use crate::authority::TableStanding;
-use crate::life::{Draining, Forming, Loading, ReplicaLife, Serving};
+use crate::lifecycle::{Draining, Forming, Loading, ReplicaLifecycle, Serving};
 
 /// Name of one replica within a zone.
 pub type ReplicaName = (GroupName, u32);
@@ -19,11 +19,11 @@
 #[derive(Clone, Debug)]
 pub enum ReplicaStage {
     /// Its members load.
-    Loading(ReplicaLife<Loading>),
+    Loading(ReplicaLifecycle<Loading>),
     /// It takes requests.
-    Serving(ReplicaLife<Serving>),
+    Serving(ReplicaLifecycle<Serving>),
     /// It takes no new requests.
-    Draining(ReplicaLife<Draining>),
+    Draining(ReplicaLifecycle<Draining>),
 }
 
 impl ReplicaStage {
@@ -37,7 +37,7 @@
 
     /// Stage of a replica that is seen for the first time, as after a hand-over.
     fn first(allocation: &Allocation, now: Instant) -> Self {
-        let loading = ReplicaLife::<Forming>::new(allocation, now).order_loading(now);
+        let loading = ReplicaLifecycle::<Forming>::new(allocation, now).order_loading(now);
         if allocation.starts.is_empty() && allocation.phase == AllocationPhase::Active {
             return Self::Loading(loading);
         }
--- a/crates/zone/tests/lease.rs
+++ b/crates/zone/tests/lease.rs
@@ -6,7 +6,7 @@
     Allocation, AllocationPhase, DomainId, Epoch, GroupName, ModelName, NodeDigest, NodeId,
     NodeState, StartId,
 };
-use hollowbarrow_zone::{LeaseTable, NodeSighting, ServingRefusal};
+use hollowbarrow_zone::{LeaseTable, NodeObservation, ServingRefusal};
 use proptest::prelude::*;
 use rstest::rstest;
 use tokio::time::Instant;
@@ -33,8 +33,8 @@
     }
 }
 
-fn sighting(start: u64, epoch: u64, ready: bool, seen: Instant) -> NodeSighting {
-    NodeSighting {
+fn sighting(start: u64, epoch: u64, ready: bool, seen: Instant) -> NodeObservation {
+    NodeObservation {
         start: StartId(start),
         epoch: Epoch(epoch),
         state: if ready { NodeState::Ready } else { NodeState::Loading },
@@ -103,7 +103,7 @@
         };
         let mut table = LeaseTable::new(LEASE);
         table.observe_digest(&digest, at(stamp_ms), Duration::from_millis(held_ms));
-        let seen = table.sighting(&node(0)).map(|sighting| sighting.seen);
+        let seen = table.observation(&node(0)).map(|sighting| sighting.seen);
         prop_assert!(seen.is_some_and(|seen| seen <= spoke), "it seems younger than it is");
     }
 }
