--- a/crates/controller/src/core.rs
+++ b/crates/controller/src/core.rs
@@ -5,19 +5,19 @@
 
 use hollowbarrow_fleet::{Deployment, Service, VersionTimes};
 use hollowbarrow_log::{LogDriver, LogView};
-use hollowbarrow_member::{EncodedDeployment, MemberLinks, SuspensionDetector};
+use hollowbarrow_member::{EncodedDeployment, MemberLinks, WakeWatch};
 use hollowbarrow_routing::LimitCoordinator;
 use hollowbarrow_schema::{DaemonId, DeploymentDocument, MemberSettings};
 use hollowbarrow_state::DeploymentState;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use crate::certainty::{CertaintyFacts, ConfigCertainty};
 use crate::fleet::FleetState;
 use crate::metrics::{ControllerLevels, ControllerMetrics};
-use crate::orders::WorkerNews;
-use crate::pending::PendingNews;
+use crate::orders::WorkerEvent;
+use crate::pending::PendingReports;
 use crate::protocol::{ControlAnswer, ControlProtocol};
-use crate::telling::{TellBasis, TellFacts};
 
 /// Silence after which a voter stands for election.
 pub(crate) const ELECTION_TIME: Duration = Duration::from_millis(600);
@@ -33,20 +33,20 @@
     pub(crate) applied: Arc<Notify>,
     /// Told when there is news of workers to send out.
     pub(crate) news_due: Notify,
-    pub(crate) news: flume::Sender<WorkerNews>,
+    pub(crate) news: flume::Sender<WorkerEvent>,
     pub(crate) metrics: ControllerMetrics,
     pub(crate) started: Instant,
-    pub(crate) wake: SuspensionDetector,
+    pub(crate) wake: WakeWatch,
     pub(crate) links: Arc<OnceLock<MemberLinks>>,
     pub(crate) fleet: Mutex<FleetState>,
-    pub(crate) pending: Mutex<PendingNews>,
+    pub(crate) pending: Mutex<PendingReports>,
     /// Limits of workers, and the permits that this controller issues while it leads.
     pub(crate) limits: Mutex<LimitCoordinator>,
     pub(crate) parsed: Mutex<Option<Arc<Deployment>>>,
     pub(crate) encoded: Mutex<Option<EncodedDeployment>>,
     pub(crate) commits: Mutex<VersionTimes>,
     /// What last entitled this controller to tell configurations, to log when that changes.
-    pub(crate) basis: Mutex<TellBasis>,
+    pub(crate) basis: Mutex<ConfigCertainty>,
 }
 
 impl ControllerCore {
@@ -58,7 +58,7 @@
         self.fleet.lock().expect("no holder of the lock panics")
     }
 
-    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingNews> {
+    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingReports> {
         self.pending.lock().expect("no holder of the lock panics")
     }
 
@@ -94,7 +94,7 @@
         let recent = |at: Instant| now.saturating_duration_since(at) < ELECTION_TIME;
         // While the machine was suspended another leader may have been elected, and the time since
         // the confirmation was not counted.
-        let awake = |at: Instant| !self.wake.was_suspended_since(at, now);
+        let awake = |at: Instant| !self.wake.has_slept_since(at, now);
         view.current && view.confirmed.is_some_and(|at| recent(at) && awake(at))
     }
 
@@ -131,13 +131,10 @@
     }
 
     /// What entitles this controller to tell gateways what is committed here.
-    pub(crate) fn tell_basis(&self, now: Instant) -> TellBasis {
+    pub(crate) fn tell_basis(&self, now: Instant) -> ConfigCertainty {
         let view = self.log.view();
-        let facts = TellFacts {
-            since: self
-                .wake
-                .last_resumed(now)
-                .map_or(self.started, |resumed| resumed.max(self.started)),
+        let facts = CertaintyFacts {
+            since: self.wake.woke(now).map_or(self.started, |woke| woke.max(self.started)),
             confirmed: view.confirmed,
             complete: view.complete,
         };
@@ -146,7 +143,7 @@
         basis
     }
 
-    fn note_basis(&self, basis: TellBasis) {
+    fn note_basis(&self, basis: ConfigCertainty) {
         let mut noted = self.basis.lock().expect("no holder of the lock panics");
         if std::mem::replace(&mut *noted, basis) != basis {
             let version = self.log.read(DeploymentState::version);
@@ -176,8 +173,8 @@
         let ip = leader.as_ref().and_then(|leader| leader.split(':').next());
         let control = self.settings.control.as_deref().unwrap_or_default();
         match (ip, control.rsplit(':').next()) {
-            (Some(ip), Some(port)) => ControlAnswer::Elsewhere(format!("http://{ip}:{port}{path}")),
-            _ => ControlAnswer::NotNow("no leader is known"),
+            (Some(ip), Some(port)) => ControlAnswer::Redirect(format!("http://{ip}:{port}{path}")),
+            _ => ControlAnswer::Unavailable("no leader is known"),
         }
     }
 }
