--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 
 use crate::core::GatewayCore;
 use crate::flight::Flight;
-use crate::picker::{LimitedWait, NoWorker, PermitPatience, PickFacts};
+use crate::picker::{LimitedWait, NoWorker, PermitWait, PickFacts};
 use crate::protocol::SendFacts;
 use crate::refusal::Refusal;
 use crate::request::CallerRequest;
@@ -175,8 +175,8 @@
     loop {
         let came = core.permits_came.notified();
         let left = limit.saturating_duration_since(Instant::now());
-        let patience = PermitPatience { left, waits: waiting.is_some() };
-        let refusal = match choose_now(core, request, tries, patience) {
+        let permit_wait = PermitWait { left, waiting: waiting.is_some() };
+        let refusal = match choose_now(core, request, tries, permit_wait) {
             Ok(flight) => return Ok(flight),
             Err(refusal) => refusal,
         };
@@ -210,7 +210,7 @@
     core: &Arc<GatewayCore>,
     request: &CallerRequest,
     tries: &Tries,
-    patience: PermitPatience,
+    permit_wait: PermitWait,
 ) -> Result<Flight, Refusal> {
     // Looked up before each attempt: another one may end the next replica.
     if let Some(left) = core.crashes().hold_left(request.digest, Instant::now()) {
@@ -222,7 +222,7 @@
         prompt_tokens: request.head.prompt_tokens,
         excluded: tries.excluded(),
         kept: &core.client.kept_addresses(),
-        patience,
+        permit_wait,
     });
     flight.map_err(Refusal::NoWorker)
 }
@@ -300,7 +300,7 @@
     let status = answer.status.as_u16();
     if facts.not_run || facts.misdirected {
         answer.lease.give_back_after(answer.body);
-        let retry_after = facts.word.backoff.ok().flatten();
+        let retry_after = facts.notice.backoff.ok().flatten();
         return Err(AttemptUpstreamError::Refused { status, retry_after });
     }
     if answer.status.is_success() && !facts.signed {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -222,7 +222,7 @@
     /// Notes what the head of a worker's answer says of requests to come, whose request was sent
     /// at this time.
     pub(crate) fn note_answer_head(&self, worker: &WorkerId, facts: &AnswerFacts, sent: Instant) {
-        let word = &facts.word;
+        let word = &facts.notice;
         if facts.not_run {
             self.metrics.count_turned_away(matches!(word.backoff, Ok(Some(_))));
         }
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -103,16 +103,16 @@
     /// Addresses to which a kept connection waits.
     pub kept: &'a HashSet<SocketAddr>,
     /// For how long it can wait for a permit, and whether it has waited already.
-    pub patience: PermitPatience,
+    pub permit_wait: PermitWait,
 }
 
 /// How a request waits for a permit where all workers that have room need one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PermitPatience {
+pub struct PermitWait {
     /// Time that is left to wait.
     pub left: Duration,
     /// Whether it has begun to wait.
-    pub waits: bool,
+    pub waiting: bool,
 }
 
 /// The cheapest candidate, and one that would be cheaper with a permit.
@@ -262,8 +262,8 @@
             }
             Err(NoChoice::Reason(reason)) => Err(reason),
             Err(NoChoice::Lacking(workers)) => {
-                let PermitPatience { left, waits } = facts.patience;
-                let wait = if self.limits.note_need_of_any(&workers, left, waits, now) {
+                let PermitWait { left, waiting } = facts.permit_wait;
+                let wait = if self.limits.note_need_of_any(&workers, left, waiting, now) {
                     LimitedWait::Soon
                 } else {
                     LimitedWait::Later(self.limits.wait(&workers, now))
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -74,7 +74,7 @@
     /// Whether another worker has the address now.
     pub misdirected: bool,
     /// What the worker says of requests to come.
-    pub word: UpstreamWord,
+    pub notice: UpstreamWord,
 }
 
 /// Translates between the messages of a platform and a gateway.
--- a/crates/gateway/tests/picker.rs
+++ b/crates/gateway/tests/picker.rs
@@ -6,9 +6,7 @@
 use std::time::Duration;
 
 use hollowbarrow_fleet::{Engine, ModelSpec, Service};
-use hollowbarrow_gateway::picker::{
-    LimitedWait, NoWorker, PermitPatience, PickFacts, WorkerPicker,
-};
+use hollowbarrow_gateway::picker::{LimitedWait, NoWorker, PermitWait, PickFacts, WorkerPicker};
 use hollowbarrow_routing::{LimitWord, WordSpan};
 use hollowbarrow_schema::{
     DaemonId, DomainId, Epoch, FleetView, MembershipState, ModelName, PermitGrant, PermitTerms,
@@ -124,7 +122,7 @@
         prompt_tokens: 500,
         excluded: &[],
         kept: &NONE_KEPT,
-        patience: PermitPatience { left: Duration::from_millis(100), waits: false },
+        permit_wait: PermitWait { left: Duration::from_millis(100), waiting: false },
     }
 }
 
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -5,7 +5,7 @@
 
 use clap::{ArgMatches, Command};
 use hollowbarrow_fleet::{Engine, ModelSpec, Service};
-use hollowbarrow_gateway::picker::{PermitPatience, PickFacts, WorkerPicker};
+use hollowbarrow_gateway::picker::{PermitWait, PickFacts, WorkerPicker};
 use hollowbarrow_routing::{BackoffTable, CopyLimiter, CrashLedger, EndedRun};
 use hollowbarrow_schema::{
     CrashRecord, CrashedRun, DomainId, Epoch, FleetView, HeldRequest, Incarnation, MembershipState,
@@ -221,7 +221,7 @@
         prompt_tokens: 1000,
         excluded: &[],
         kept: &kept,
-        patience: PermitPatience { left: Duration::ZERO, waits: false },
+        permit_wait: PermitWait { left: Duration::ZERO, waiting: false },
     };
     let now = Instant::now();
     // The first one makes the index of candidates.
