--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,16 +4,14 @@
 use std::time::Duration;
 
 use hollowbarrow_routing::retry::AttemptUpstreamError;
-use hollowbarrow_routing::{
-    AttemptLedger, DuplicateTicket, PERMIT_POLL_INTERVAL, PERMIT_WAIT_TIMEOUT,
-};
+use hollowbarrow_routing::{AttemptLedger, CopyTicket, PERMIT_PATIENCE, PERMIT_POLL};
 use hollowbarrow_schema::{ErrorRan, WorkerId};
 use hollowbarrow_upstream::{ConnectionLease, SendRequestError, SentAnswer, UpstreamRequest};
 use tokio::time::Instant;
 
 use crate::core::GatewayCore;
 use crate::flight::Flight;
-use crate::picker::{LimitedWait, NoWorker, PermitPatience, PickFacts};
+use crate::picker::{LimitedWait, NoWorker, PermitWait, PickFacts};
 use crate::protocol::SendFacts;
 use crate::refusal::Refusal;
 use crate::request::CallerRequest;
@@ -32,7 +30,7 @@
 /// What was tried for a request so far.
 #[derive(Debug)]
 pub(crate) struct Tries {
-    ticket: DuplicateTicket,
+    ticket: CopyTicket,
     /// Until when it is not repeated, since others may know that it ends workers.
     paused_until: Option<Instant>,
     ledger: AttemptLedger,
@@ -45,7 +43,7 @@
 
 impl Tries {
     /// Creates the record of a request that goes to its first worker.
-    pub(crate) fn new(ticket: DuplicateTicket) -> Self {
+    pub(crate) fn new(ticket: CopyTicket) -> Self {
         Self {
             ticket,
             paused_until: None,
@@ -58,7 +56,7 @@
 
     /// Notes that something of an answer came.
     pub(crate) fn note_progress(&self) {
-        self.ticket.record_progress();
+        self.ticket.note_progress();
     }
 
     /// Waits until the request may be repeated.
@@ -93,7 +91,7 @@
         }
         let sent = waited.unwrap_or_else(|end| Err(end.into()));
         let ran = sent.as_ref().map_or_else(AttemptUpstreamError::ran, |_| ErrorRan::Ran);
-        self.ledger.record_outcome(ran);
+        self.ledger.note_outcome(ran);
         sent
     }
 
@@ -107,7 +105,7 @@
     ) {
         if let (AttemptUpstreamError::ConnectionLost { .. }, Some(sent)) = (error, self.sent) {
             core.crashes().note_run(request.digest, worker, sent, Instant::now());
-            self.paused_until = self.ticket.record_crash();
+            self.paused_until = self.ticket.note_ended();
         }
         self.excluded.push(worker.clone());
         if !self.story.is_empty() {
@@ -128,7 +126,7 @@
 
     /// Notes that the next attempt was taken from the budget already.
     pub(crate) fn note_paid(&mut self) {
-        self.ledger.record_budgeted();
+        self.ledger.note_paid();
     }
 
     /// Whether nothing may follow the attempt that is under way.
@@ -150,7 +148,7 @@
 pub(crate) async fn enter_copy(
     core: &GatewayCore,
     request: &CallerRequest,
-) -> Result<DuplicateTicket, Refusal> {
+) -> Result<CopyTicket, Refusal> {
     let (held, answered) = {
         let crashes = core.crashes();
         let held = crashes.hold_left(request.digest, Instant::now());
@@ -172,13 +170,13 @@
     request: &CallerRequest,
     tries: &Tries,
 ) -> Result<Flight, Refusal> {
-    let limit = request.deadline().min(Instant::now() + PERMIT_WAIT_TIMEOUT);
+    let limit = request.deadline().min(Instant::now() + PERMIT_PATIENCE);
     let mut waiting: Option<PermitWaiting> = None;
     loop {
         let came = core.permits_came.notified();
         let left = limit.saturating_duration_since(Instant::now());
-        let patience = PermitPatience { left, waits: waiting.is_some() };
-        let refusal = match choose_now(core, request, tries, patience) {
+        let permit_wait = PermitWait { left, waiting: waiting.is_some() };
+        let refusal = match choose_now(core, request, tries, permit_wait) {
             Ok(flight) => return Ok(flight),
             Err(refusal) => refusal,
         };
@@ -188,7 +186,7 @@
         }
         waiting.get_or_insert_with(|| PermitWaiting::new(core));
         core.permits_wanted.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), came).await;
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL), came).await;
     }
 }
 
@@ -212,7 +210,7 @@
     core: &Arc<GatewayCore>,
     request: &CallerRequest,
     tries: &Tries,
-    patience: PermitPatience,
+    permit_wait: PermitWait,
 ) -> Result<Flight, Refusal> {
     // Looked up before each attempt: another one may end the next replica.
     if let Some(left) = core.crashes().hold_left(request.digest, Instant::now()) {
@@ -223,8 +221,8 @@
         model: request.head.model.as_ref(),
         prompt_tokens: request.head.prompt_tokens,
         excluded: tries.excluded(),
-        kept: &core.client.idle_addresses(),
-        patience,
+        kept: &core.client.kept_addresses(),
+        permit_wait,
     });
     flight.map_err(Refusal::NoWorker)
 }
@@ -238,9 +236,9 @@
     resumes: bool,
 ) -> Result<ConnectionLease, AttemptUpstreamError> {
     if tries.ledger.sends() == 0 {
-        core.budget.record_request();
+        core.budget.note_request();
     }
-    tries.ledger.record_send();
+    tries.ledger.note_send();
     tries.sent = Some(Instant::now());
     if tries.ledger.sends() > 1 {
         core.metrics.count_repeat(if resumes { "resumed" } else { "again" });
@@ -248,9 +246,9 @@
     let limit = request.deadline().min(Instant::now() + LONGEST_CONNECT);
     let preparing = core.client.prepare(flight.worker.address, true);
     match tokio::time::timeout_at(limit, preparing).await {
-        Ok(Ok(lease)) => Ok(lease.with_max_idle(core.most_idle(&request.service))),
+        Ok(Ok(lease)) => Ok(lease.with_most_idle(core.most_idle(&request.service))),
         _ => {
-            tries.ledger.record_outcome(ErrorRan::NotRun);
+            tries.ledger.note_outcome(ErrorRan::NotRun);
             Err(AttemptUpstreamError::NotReached)
         }
     }
@@ -302,7 +300,7 @@
     let status = answer.status.as_u16();
     if facts.not_run || facts.misdirected {
         answer.lease.give_back_after(answer.body);
-        let retry_after = facts.word.backoff.ok().flatten();
+        let retry_after = facts.notice.backoff.ok().flatten();
         return Err(AttemptUpstreamError::Refused { status, retry_after });
     }
     if answer.status.is_success() && !facts.signed {
