--- a/crates/controller/src/core.rs
+++ b/crates/controller/src/core.rs
@@ -5,7 +5,7 @@
 
 use hollowbarrow_fleet::{Deployment, Service, VersionTimes};
 use hollowbarrow_log::{LogDriver, LogView};
-use hollowbarrow_member::{EncodedDeployment, MemberLinks, WakeWatch};
+use hollowbarrow_member::{EncodedDeployment, MemberLinks, SuspensionDetector};
 use hollowbarrow_routing::LimitCoordinator;
 use hollowbarrow_schema::{DaemonId, DeploymentDocument, MemberSettings};
 use hollowbarrow_state::DeploymentState;
@@ -36,7 +36,7 @@
     pub(crate) news: flume::Sender<WorkerEvent>,
     pub(crate) metrics: ControllerMetrics,
     pub(crate) started: Instant,
-    pub(crate) wake: WakeWatch,
+    pub(crate) wake: SuspensionDetector,
     pub(crate) links: Arc<OnceLock<MemberLinks>>,
     pub(crate) fleet: Mutex<FleetState>,
     pub(crate) pending: Mutex<PendingReports>,
@@ -94,7 +94,7 @@
         let recent = |at: Instant| now.saturating_duration_since(at) < ELECTION_TIME;
         // While the machine was suspended another leader may have been elected, and the time since
         // the confirmation was not counted.
-        let awake = |at: Instant| !self.wake.has_slept_since(at, now);
+        let awake = |at: Instant| !self.wake.was_suspended_since(at, now);
         view.current && view.confirmed.is_some_and(|at| recent(at) && awake(at))
     }
 
@@ -134,7 +134,7 @@
     pub(crate) fn tell_basis(&self, now: Instant) -> ConfigCertainty {
         let view = self.log.view();
         let facts = CertaintyFacts {
-            since: self.wake.woke(now).map_or(self.started, |woke| woke.max(self.started)),
+            since: self.wake.last_resumed(now).map_or(self.started, |woke| woke.max(self.started)),
             confirmed: view.confirmed,
             complete: view.complete,
         };
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hollowbarrow_fleet::workers::WorkerEntry;
-use hollowbarrow_fleet::{WorkerStanding, WorkerTable};
+use hollowbarrow_fleet::{WorkerStatus, WorkerTable};
 use hollowbarrow_schema::WorkerId;
 use tokio::time::Instant;
 
@@ -88,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// Whether it can take part.
-    pub standing: WorkerStanding,
+    pub standing: WorkerStatus,
     /// Whether it should be probed now.
     pub probe: bool,
 }
@@ -107,21 +107,21 @@
         facts: &LivenessFacts<'_>,
     ) -> Assessment {
         let probe = self.probes.get(&entry.report.id).copied().unwrap_or_default();
-        let silence = facts.now.saturating_duration_since(entry.heard);
+        let silence = facts.now.saturating_duration_since(entry.last_received);
         let settled = |standing| Assessment { standing, probe: false };
         if probe.replaced || facts.ended.contains(&entry.report.id) {
-            return settled(WorkerStanding::Dead);
+            return settled(WorkerStatus::Dead);
         }
-        if entry.ended {
+        if entry.superseded {
             // A later life was heard of. Until it has gone on, or has answered a probe of this one,
             // it may be another writer's, and this one may still head a replica.
             let due =
                 probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= PROBE_PAUSE);
-            return Assessment { standing: WorkerStanding::Lost, probe: due && !probe.under_way };
+            return Assessment { standing: WorkerStatus::Lost, probe: due && !probe.under_way };
         }
         if entry.report.gone || entry.report.leaving {
             let ended = silence > GONE_TIME;
-            return settled(if ended { WorkerStanding::Dead } else { WorkerStanding::Leaving });
+            return settled(if ended { WorkerStatus::Dead } else { WorkerStatus::Leaving });
         }
         let head_use = head.and_then(|head| facts.uses.get(head)).copied().unwrap_or_default();
         let moving = |within: Duration| {
@@ -129,15 +129,15 @@
         };
         let still = head.is_some() && head_use.active > 0 && !moving(STILL_TIME);
         let overdue = silence > facts.heartbeat.mul_f64(PROBED_BEATS);
-        let answered = probe.answered.is_some_and(|at| at > entry.heard);
+        let answered = probe.answered.is_some_and(|at| at > entry.last_received);
         let unheard = probe.silent >= LOST_PROBES;
         if !(overdue || still || unheard) || (head.is_some() && moving(PROOF_TIME)) {
-            return settled(WorkerStanding::Usable);
+            return settled(WorkerStatus::Usable);
         }
         let pause = if unheard { LOST_PROBE_PAUSE } else { PROBE_PAUSE };
         let due = probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= pause);
         let waits = answered && !still && !due;
-        let standing = if unheard { WorkerStanding::Lost } else { WorkerStanding::Usable };
+        let standing = if unheard { WorkerStatus::Lost } else { WorkerStatus::Usable };
         Assessment { standing, probe: due && !probe.under_way && !waits }
     }
 
@@ -173,7 +173,7 @@
                 // What was found then was of another writer under this name.
                 *probe = ProbeRecord { recount, ..ProbeRecord::default() };
             }
-            let heard = table.get(worker).map(|entry| entry.heard);
+            let heard = table.get(worker).map(|entry| entry.last_received);
             if heard > probe.sent && !probe.under_way {
                 probe.silent = 0;
             }
@@ -184,9 +184,9 @@
 /// Workers that have ended, because another life registers under their address or name.
 pub fn find_terminated(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
     let mut ended = find_replaced(table, heartbeat);
-    let superseded = table.iter().filter(|entry| entry.ended);
+    let superseded = table.iter().filter(|entry| entry.superseded);
     ended.extend(superseded.filter_map(|old| {
-        let new = table.newest_of(old.report.id.name())?;
+        let new = table.newest_instance(old.report.id.name())?;
         goes_on_since(new, old, heartbeat).then(|| old.report.id.clone())
     }));
     ended
@@ -210,11 +210,11 @@
 
 /// Whether `new` has gone on registering for long enough since `old` was last heard of.
 fn is_successor(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
-    let later = new.first >= old.first && new.report.id != old.report.id;
+    let later = new.first_received >= old.first_received && new.report.id != old.report.id;
     later && goes_on_since(new, old, heartbeat)
 }
 
 fn goes_on_since(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
-    let since = new.first.max(old.heard);
-    new.heard.saturating_duration_since(since) >= heartbeat.mul_f64(SUCCESSOR_BEATS)
+    let since = new.first_received.max(old.last_received);
+    new.last_received.saturating_duration_since(since) >= heartbeat.mul_f64(SUCCESSOR_BEATS)
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -70,7 +70,7 @@
 ///
 /// Fails where that worker tells of its start and the call does not.
 pub fn check_start(worker: &WorkerId, table: &WorkerTable) -> Result<(), RecordFault> {
-    let newest = table.newest_of(worker.name());
+    let newest = table.newest_instance(worker.name());
     let told = newest.is_some_and(|entry| entry.report.id.incarnation().is_some());
     if told && worker.incarnation().is_none() {
         return Err(RecordFault::new("born", RecordProblem::MissingStartTime));
@@ -93,7 +93,7 @@
         deployment.services.iter().any(|service| service.name == report.service)
     });
     // A worker whose service has been taken out of the configuration still says when it leaves.
-    let held = table.newest_of(report.id.name());
+    let held = table.newest_instance(report.id.name());
     let known = held.is_some_and(|entry| entry.report.service == report.service);
     if !(named || known) {
         return Err(RecordFault::new("service", RecordProblem::UnknownService));
--- a/crates/controller/tests/delivery.rs
+++ b/crates/controller/tests/delivery.rs
@@ -27,14 +27,14 @@
 fn is_due_while_changes_go_on(#[case] pause_ms: u64) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
-    commits.note(1, start);
+    commits.record(1, start);
     let mut state = DeliveryState::new(1, start);
     let mut reported = start;
     let mut lags = Vec::new();
     for step in 1..1000u64 {
         let now = start + MS * 10 * u32::try_from(step).expect("small");
         if (step * 10).is_multiple_of(pause_ms) {
-            commits.note(1 + step, now);
+            commits.record(1 + step, now);
         }
         if now >= reported + REPORT_INTERVAL {
             reported = now;
@@ -60,8 +60,8 @@
 fn is_due_after_commit(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
-    commits.note(1, start);
-    commits.note(2, start + MS * 100);
+    commits.record(1, start);
+    commits.record(2, start + MS * 100);
     let state = DeliveryState::new(1, start);
     assert_eq!(state.is_due(offer(2), place, &commits, start + MS * at), due);
 }
@@ -70,7 +70,7 @@
 fn is_due_of_new_life() {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
-    commits.note(1, start);
+    commits.record(1, start);
     let mut state = DeliveryState::new(1, start);
     let restarted = start + MS * 9000;
     state.record_reported_version(0, restarted);
@@ -86,7 +86,7 @@
 fn is_due_of_same_version() {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
-    commits.note(2, start);
+    commits.record(2, start);
     let mut state = DeliveryState::new(1, start);
     state.record_sent(2, start);
     assert!(
@@ -101,7 +101,7 @@
         "it found no room"
     );
     state.record_sent(2, start + MS * 301);
-    commits.note(3, start + MS * 302);
+    commits.record(3, start + MS * 302);
     assert!(
         state.is_due(offer(3), DeliveryRole::Near, &commits, start + MS * 303),
         "a newer one does not wait"
@@ -118,7 +118,7 @@
 fn is_due_of_large_one(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
-    commits.note(2, start);
+    commits.record(2, start);
     let mut state = DeliveryState::new(1, start);
     if place == DeliveryRole::Near {
         state.record_sent(2, start);
--- a/crates/controller/tests/liveness.rs
+++ b/crates/controller/tests/liveness.rs
@@ -8,7 +8,7 @@
 use hollowbarrow_controller::liveness::{
     LivenessFacts, LivenessTracker, ProbeOutcome, find_terminated,
 };
-use hollowbarrow_fleet::{WorkerStanding, WorkerTable};
+use hollowbarrow_fleet::{WorkerStatus, WorkerTable};
 use hollowbarrow_schema::{Incarnation, WorkerId, WorkerReport};
 use rstest::rstest;
 use standins::report;
@@ -43,12 +43,12 @@
 }
 
 #[rstest]
-#[case::answered(&[ProbeOutcome::Answered], WorkerStanding::Usable)]
-#[case::another_worker_answered(&[ProbeOutcome::Replaced], WorkerStanding::Dead)]
-#[case::silent_once(&[ProbeOutcome::Silent], WorkerStanding::Usable)]
-#[case::silent_twice(&[ProbeOutcome::Silent, ProbeOutcome::Silent], WorkerStanding::Lost)]
-#[case::refused(&[ProbeOutcome::Refused], WorkerStanding::Lost)]
-fn judge_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStanding) {
+#[case::answered(&[ProbeOutcome::Answered], WorkerStatus::Usable)]
+#[case::another_worker_answered(&[ProbeOutcome::Replaced], WorkerStatus::Dead)]
+#[case::silent_once(&[ProbeOutcome::Silent], WorkerStatus::Usable)]
+#[case::silent_twice(&[ProbeOutcome::Silent, ProbeOutcome::Silent], WorkerStatus::Lost)]
+#[case::refused(&[ProbeOutcome::Refused], WorkerStatus::Lost)]
+fn judge_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStatus) {
     let start = Instant::now();
     let table = table_after(start, &[(0, "w", 1)]);
     let worker = WorkerId::from("w");
@@ -67,17 +67,17 @@
 /// A later life under the same name: at first it may be another writer's, and the former life is
 /// probed; once it has gone on, or answered that probe, the former life has ended.
 #[rstest]
-#[case::just_heard(&[], 0, WorkerStanding::Lost)]
-#[case::probe_answered_by_it(&[ProbeOutcome::Replaced], 0, WorkerStanding::Dead)]
-#[case::former_life_answered(&[ProbeOutcome::Answered], 0, WorkerStanding::Lost)]
-#[case::goes_on(&[], 2, WorkerStanding::Dead)]
+#[case::just_heard(&[], 0, WorkerStatus::Lost)]
+#[case::probe_answered_by_it(&[ProbeOutcome::Replaced], 0, WorkerStatus::Dead)]
+#[case::former_life_answered(&[ProbeOutcome::Answered], 0, WorkerStatus::Lost)]
+#[case::goes_on(&[], 2, WorkerStatus::Dead)]
 fn judge_earlier_life(
     #[case] outcomes: &[ProbeOutcome],
     #[case] beats: u64,
-    #[case] expected: WorkerStanding,
+    #[case] expected: WorkerStatus,
 ) {
     let start = Instant::now();
-    let life = |born| WorkerId::of_life("w", Some(Incarnation(born)));
+    let life = |born| WorkerId::of_instance("w", Some(Incarnation(born)));
     let (former, next) = (life(5), life(6));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     for beat in 0..=beats {
@@ -94,14 +94,14 @@
     let entry = table.get(&former).expect("it is remembered");
     assert_eq!(judge.judge(entry, None, &facts).standing, expected);
     let entry = table.get(&next).expect("it has registered");
-    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStanding::Usable);
+    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStatus::Usable);
 }
 
 /// Another writer's later life answered for the worker, which goes on and is believed again.
 #[rstest]
 fn judge_recounted_life() {
     let start = Instant::now();
-    let former = WorkerId::of_life("w", Some(Incarnation(5)));
+    let former = WorkerId::of_instance("w", Some(Incarnation(5)));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     let mut judge = LivenessTracker::new();
     judge.record_probe_sent(&former, start);
@@ -113,5 +113,5 @@
     let now = start + HEARTBEAT;
     let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
     let entry = table.get(&former).expect("it is there");
-    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStanding::Usable);
+    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStatus::Usable);
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use hollowbarrow_routing::retry::AttemptUpstreamError;
-use hollowbarrow_routing::{AttemptLedger, CopyTicket, PERMIT_PATIENCE, PERMIT_POLL};
+use hollowbarrow_routing::{
+    AttemptLedger, DuplicateTicket, PERMIT_POLL_INTERVAL, PERMIT_WAIT_TIMEOUT,
+};
 use hollowbarrow_schema::{ErrorRan, WorkerId};
 use hollowbarrow_upstream::{ConnectionLease, SendRequestError, SentAnswer, UpstreamRequest};
 use tokio::time::Instant;
@@ -30,7 +32,7 @@
 /// What was tried for a request so far.
 #[derive(Debug)]
 pub(crate) struct Tries {
-    ticket: CopyTicket,
+    ticket: DuplicateTicket,
     /// Until when it is not repeated, since others may know that it ends workers.
     paused_until: Option<Instant>,
     ledger: AttemptLedger,
@@ -43,7 +45,7 @@
 
 impl Tries {
     /// Creates the record of a request that goes to its first worker.
-    pub(crate) fn new(ticket: CopyTicket) -> Self {
+    pub(crate) fn new(ticket: DuplicateTicket) -> Self {
         Self {
             ticket,
             paused_until: None,
@@ -56,7 +58,7 @@
 
     /// Notes that something of an answer came.
     pub(crate) fn note_progress(&self) {
-        self.ticket.note_progress();
+        self.ticket.record_progress();
     }
 
     /// Waits until the request may be repeated.
@@ -91,7 +93,7 @@
         }
         let sent = waited.unwrap_or_else(|end| Err(end.into()));
         let ran = sent.as_ref().map_or_else(AttemptUpstreamError::ran, |_| ErrorRan::Ran);
-        self.ledger.note_outcome(ran);
+        self.ledger.record_outcome(ran);
         sent
     }
 
@@ -105,7 +107,7 @@
     ) {
         if let (AttemptUpstreamError::ConnectionLost { .. }, Some(sent)) = (error, self.sent) {
             core.crashes().note_run(request.digest, worker, sent, Instant::now());
-            self.paused_until = self.ticket.note_ended();
+            self.paused_until = self.ticket.record_crash();
         }
         self.excluded.push(worker.clone());
         if !self.story.is_empty() {
@@ -126,7 +128,7 @@
 
     /// Notes that the next attempt was taken from the budget already.
     pub(crate) fn note_paid(&mut self) {
-        self.ledger.note_paid();
+        self.ledger.record_budgeted();
     }
 
     /// Whether nothing may follow the attempt that is under way.
@@ -148,7 +150,7 @@
 pub(crate) async fn enter_copy(
     core: &GatewayCore,
     request: &CallerRequest,
-) -> Result<CopyTicket, Refusal> {
+) -> Result<DuplicateTicket, Refusal> {
     let (held, answered) = {
         let crashes = core.crashes();
         let held = crashes.hold_left(request.digest, Instant::now());
@@ -170,7 +172,7 @@
     request: &CallerRequest,
     tries: &Tries,
 ) -> Result<Flight, Refusal> {
-    let limit = request.deadline().min(Instant::now() + PERMIT_PATIENCE);
+    let limit = request.deadline().min(Instant::now() + PERMIT_WAIT_TIMEOUT);
     let mut waiting: Option<PermitWaiting> = None;
     loop {
         let came = core.permits_came.notified();
@@ -186,7 +188,7 @@
         }
         waiting.get_or_insert_with(|| PermitWaiting::new(core));
         core.permits_wanted.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL), came).await;
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), came).await;
     }
 }
 
@@ -221,7 +223,7 @@
         model: request.head.model.as_ref(),
         prompt_tokens: request.head.prompt_tokens,
         excluded: tries.excluded(),
-        kept: &core.client.kept_addresses(),
+        kept: &core.client.idle_addresses(),
         permit_wait,
     });
     flight.map_err(Refusal::NoWorker)
@@ -236,9 +238,9 @@
     resumes: bool,
 ) -> Result<ConnectionLease, AttemptUpstreamError> {
     if tries.ledger.sends() == 0 {
-        core.budget.note_request();
+        core.budget.record_request();
     }
-    tries.ledger.note_send();
+    tries.ledger.record_send();
     tries.sent = Some(Instant::now());
     if tries.ledger.sends() > 1 {
         core.metrics.count_repeat(if resumes { "resumed" } else { "again" });
@@ -246,9 +248,9 @@
     let limit = request.deadline().min(Instant::now() + LONGEST_CONNECT);
     let preparing = core.client.prepare(flight.worker.address, true);
     match tokio::time::timeout_at(limit, preparing).await {
-        Ok(Ok(lease)) => Ok(lease.with_most_idle(core.most_idle(&request.service))),
+        Ok(Ok(lease)) => Ok(lease.with_max_idle(core.most_idle(&request.service))),
         _ => {
-            tries.ledger.note_outcome(ErrorRan::NotRun);
+            tries.ledger.record_outcome(ErrorRan::NotRun);
             Err(AttemptUpstreamError::NotReached)
         }
     }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use hollowbarrow_fleet::{RouteTable, Service, VersionTimes};
-use hollowbarrow_member::WakeWatch;
+use hollowbarrow_member::SuspensionDetector;
 use hollowbarrow_routing::retry::{AttemptUpstreamError, RetryBudget};
 use hollowbarrow_routing::{
     ConfigFreshness, DuplicateGate, LimitNotice, NoticeInterval, limit_text,
 };
 use hollowbarrow_schema::{DaemonId, FleetView, MemberSettings, WorkerId};
-use hollowbarrow_upstream::{UpstreamClient, UpstreamWord};
+use hollowbarrow_upstream::{UpstreamClient, UpstreamNotice};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -51,7 +51,7 @@
     /// Told when the issuer of permits has answered.
     pub(crate) permits_came: Notify,
     pub(crate) in_flight: AtomicU32,
-    pub(crate) wake: Arc<WakeWatch>,
+    pub(crate) wake: Arc<SuspensionDetector>,
     /// When the leader's word last came.
     last_view: Mutex<Option<Instant>>,
 }
@@ -63,7 +63,7 @@
         Self {
             client: UpstreamClient::new()
                 .with_identity(protocol.identity_header())
-                .with_first_connect(FIRST_CONNECT),
+                .with_first_connect_timeout(FIRST_CONNECT),
             budget: RetryBudget::with_limits(limits, Instant::now()),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
@@ -76,7 +76,7 @@
             permits_wanted: Notify::new(),
             permits_came: Notify::new(),
             in_flight: AtomicU32::new(0),
-            wake: Arc::new(WakeWatch::new()),
+            wake: Arc::new(SuspensionDetector::new()),
             last_view: Mutex::new(None),
             settings,
             protocol,
@@ -126,7 +126,7 @@
     /// Whether the machine was suspended since the leader's word last came.
     fn has_missed_views(&self) -> bool {
         let last = *self.last_view.lock().expect("no holder of the lock panics");
-        last.is_some_and(|last| self.wake.has_slept_since(last, Instant::now()))
+        last.is_some_and(|last| self.wake.was_suspended_since(last, Instant::now()))
     }
 
     fn known(&self) -> MutexGuard<'_, VersionTimes> {
@@ -249,7 +249,7 @@
     }
 
     /// Notes how many requests a worker says that it takes.
-    fn note_limit(&self, worker: &WorkerId, word: &UpstreamWord, span: NoticeInterval) {
+    fn note_limit(&self, worker: &WorkerId, word: &UpstreamNotice, span: NoticeInterval) {
         let limit = match word.limit {
             Ok(limit) => limit,
             Err(error) => {
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -15,7 +15,7 @@
 
 use hollowbarrow_fleet::{Engine, Service, WorkerTable};
 use hollowbarrow_routing::{
-    BackoffReason, BackoffTable, LimitWord, PERMIT_LIFETIME, Permit, UpstreamLimits,
+    BackoffReason, BackoffTable, LimitNotice, PERMIT_LIFETIME, Permit, UpstreamLimits,
 };
 use hollowbarrow_schema::{
     DaemonId, FleetView, ModelName, PermitAsk, PermitGrant, RequestRate, ServiceName, WorkerId,
@@ -177,7 +177,7 @@
     /// so old that whoever passed it on is cut off from the leader.
     pub fn take_view(&mut self, view: &FleetView, now: Instant) -> bool {
         if self.view.is_newer(view) {
-            self.limits.take_told(&view.limits, now);
+            self.limits.record_published(&view.limits, now);
         }
         self.view.take(view, &self.reported, now)
     }
@@ -189,7 +189,7 @@
 
     /// Digest of the table of workers.
     pub fn digest(&self) -> u64 {
-        self.table.digest()
+        self.table.table_hash()
     }
 
     /// Number of workers known.
@@ -212,8 +212,8 @@
         self.table.expire(silence, now);
         let table = &self.table;
         self.own.retain(|id, own| own.active > 0 || table.get(id).is_some());
-        self.backoffs.tidy(|id| table.get(id).is_some(), now);
-        self.limits.tidy(|id| table.get(&WorkerId::from(id)).is_some());
+        self.backoffs.prune(|id| table.get(id).is_some(), now);
+        self.limits.prune(|id| table.get(&WorkerId::from(id)).is_some());
     }
 
     /// What this gateway has under way, to be told to controllers.
@@ -255,7 +255,7 @@
         match picked {
             Ok((worker, better_with_permit)) => {
                 if let Some(better) = better_with_permit {
-                    self.limits.note_need_ahead(&better, PERMIT_LIFETIME, now);
+                    self.limits.record_future_need(&better, PERMIT_LIFETIME, now);
                 }
                 let permit = self.limits.take(&worker.id, now);
                 Ok(PickedWorker { permit, ..worker })
@@ -263,7 +263,7 @@
             Err(NoChoice::Reason(reason)) => Err(reason),
             Err(NoChoice::Lacking(workers)) => {
                 let PermitWait { left, waiting } = facts.permit_wait;
-                let wait = if self.limits.note_need_of_any(&workers, left, waiting, now) {
+                let wait = if self.limits.record_need_of_any(&workers, left, waiting, now) {
                     LimitedWait::Soon
                 } else {
                     LimitedWait::Later(self.limits.wait(&workers, now))
@@ -290,9 +290,9 @@
         let candidates = self.candidates.replicas(&key);
         let estimate = |candidate: &Candidate| {
             let load = self.load_of(&candidate.id);
-            let slower = if candidate.scattered { engine.far } else { 1.0 };
-            let pass = engine.pass_ms(spec, f64::from(load.active + 1)) * slower;
-            let reading = engine.reading_ms(spec, facts.prompt_tokens) * slower;
+            let slower = if candidate.scattered { engine.cross_domain_factor } else { 1.0 };
+            let pass = engine.iteration_ms(spec, f64::from(load.active + 1)) * slower;
+            let reading = engine.prefill_ms(spec, facts.prompt_tokens) * slower;
             let first_ms = load.waiting_ms + reading + pass * 1.5;
             PickedWorker {
                 id: candidate.id.clone(),
@@ -366,7 +366,7 @@
         let mut needing: Vec<String> = Vec::new();
         for candidate in candidates.iter().filter(usable) {
             if let Some(reason) = self.backoff(&candidate.id, now) {
-                backoff = backoff.into_iter().chain(reason.left()).min();
+                backoff = backoff.into_iter().chain(reason.remaining()).min();
                 continue;
             }
             if facts.excluded.contains(&candidate.id) {
@@ -474,12 +474,12 @@
 
     /// Notes that a worker asked for no requests from this gateway for some time.
     pub fn note_backoff(&mut self, id: &WorkerId, backoff: Duration, now: Instant) {
-        self.backoffs.note_asked(id, backoff, now);
+        self.backoffs.record_backoff(id, backoff, now);
     }
 
     /// Notes that a worker said that it is about to end; false where that is known.
     pub fn note_leaving(&mut self, id: &WorkerId) -> bool {
-        self.backoffs.note_leaving(id)
+        self.backoffs.record_leaving(id)
     }
 
     /// Gives a permit back that was taken for a request which did not go.
@@ -494,7 +494,7 @@
 
     /// Takes in the permits that were issued.
     pub fn take_grant(&mut self, grant: &PermitGrant, now: Instant) {
-        self.limits.take_grant(grant, now);
+        self.limits.record_grant(grant, now);
     }
 
     /// Notes that a request begins to wait for a permit.
@@ -508,8 +508,8 @@
     }
 
     /// Notes what a worker said of its limit; true where that is another one now.
-    pub fn note_limit(&mut self, id: &WorkerId, word: LimitWord) -> bool {
-        self.limits.note(id, word)
+    pub fn note_limit(&mut self, id: &WorkerId, word: LimitNotice) -> bool {
+        self.limits.record_notice(id, word)
     }
 
     /// Requests a second that a worker takes from all gateways, if it has named a limit.
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -5,7 +5,7 @@
 
 use clap::{ArgMatches, Command};
 use hollowbarrow_fleet::{Engine, ModelSpec, Service};
-use hollowbarrow_gateway::picker::{PermitPatience, PickFacts, WorkerPicker};
+use hollowbarrow_gateway::picker::{PermitWait, PickFacts, WorkerPicker};
 use hollowbarrow_routing::{BackoffTable, CrashLedger, DuplicateLimiter, TerminatedRun};
 use hollowbarrow_schema::{
     CrashRecord, CrashedRun, DomainId, Epoch, FleetView, HeldRequest, Incarnation, MembershipState,
@@ -90,7 +90,7 @@
     let before = resident_kb()?;
     let mut table = BackoffTable::new();
     for number in 0..WORKERS * MEMORY_SCALE {
-        let worker = WorkerId::of_life(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+        let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
         table.record_backoff(&worker, Duration::from_secs(3), Instant::now());
     }
     kept.push(table);
@@ -144,7 +144,7 @@
     let (epoch, rank) = (number / REPLICA_SIZE + 1, number % REPLICA_SIZE);
     let state = if rank == 0 { MembershipState::Open } else { MembershipState::Ready };
     WorkerReport {
-        id: WorkerId::of_life(&name, born.then_some(Incarnation(BORN + number))),
+        id: WorkerId::of_instance(&name, born.then_some(Incarnation(BORN + number))),
         seq: 4000,
         recount: None,
         service: ServiceName("chat".to_owned()),
@@ -185,7 +185,7 @@
 }
 
 fn limit(number: u64) -> UpstreamLimit {
-    let worker = WorkerId::of_life(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+    let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
     let limit = Some(RequestRate(1800));
     UpstreamLimit { upstream: worker.to_string(), limit, sent_ms: 620, came_ms: 400 }
 }
@@ -221,7 +221,7 @@
         prompt_tokens: 1000,
         excluded: &[],
         kept: &kept,
-        patience: PermitPatience { left: Duration::ZERO, waits: false },
+        permit_wait: PermitWait { left: Duration::ZERO, waiting: false },
     };
     let now = Instant::now();
     // The first one makes the index of candidates.
--- a/crates/routing/src/crashes.rs
+++ b/crates/routing/src/crashes.rs
@@ -202,7 +202,7 @@
     }
 
     /// Sets since when answers would have been heard of.
-    pub fn with_watch_since(mut self, since: Instant) -> Self {
+    pub fn with_observation_since(mut self, since: Instant) -> Self {
         self.watches_since = Some(since);
         self
     }
--- a/crates/routing/tests/crashes.rs
+++ b/crates/routing/tests/crashes.rs
@@ -300,7 +300,7 @@
 #[case::led_after(41_600, Duration::from_secs(30))]
 fn hold_of_unwatched_request(#[case] watch_since: u64, #[case] expected: Duration) {
     let start = Instant::now();
-    let mut ledger = CrashLedger::new().with_watch_since(start + ms(watch_since));
+    let mut ledger = CrashLedger::new().with_observation_since(start + ms(watch_since));
     let now = start + ms(41_700);
     let ended_run = |upstream: u64, sent: u32, ended: u32| CrashedRun {
         upstream,
