--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,35 +1,35 @@
-//! How much of the retries that all gateways together are allowed each one may use.
+//! Divides the retries that all gateways together may make.
 //!
-//! Gateways cannot count together while they are cut off from each other, so each keeps to a part
-//! that holds whatever the others do.
+//! Gateways cannot share a counter while they are partitioned from each other, so each keeps to a
+//! share that is safe whatever the others do.
 
 use hollowbarrow_routing::retry::RetryLimits;
 
-/// Part of the allowed repeats that is earned by requests; the rest is slack for the window's ends.
+/// Fraction of the allowed retries that requests earn; the rest is slack for the window's edges.
 const EARNED_SHARE: f64 = 0.75;
-/// Part of the slack that is earned anew in each window whatever the traffic.
+/// Fraction of the slack that is earned in each window without any traffic.
 const FLOOR_SHARE: f64 = 0.2;
-/// Gateways among which the slack is divided at least, since more may come.
+/// Smallest number of gateways among which the slack is divided, because more may start.
 const MIN_GATEWAYS: u32 = 12;
-/// Part of the gateways by which the slack is divided, once there are more: what requests earn is
-/// below what is allowed, which covers the rest.
+/// Fraction of the gateways by which the slack is divided, if that is more than the smallest number.
+/// Requests earn less than is allowed, and the difference covers the other gateways.
 const SLACK_DIVISOR_SHARE: f64 = 2.0 / 3.0;
 
-/// What all gateways together may send again within a window.
+/// Retries that all gateways together may make within a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAllowance {
-    /// Retries for a thousand requests.
+    /// Retries per thousand requests.
     pub permille: u32,
-    /// Retries beyond those.
+    /// Additional retries in each window.
     pub slack: u32,
     /// Length of the window, in seconds.
     pub window_s: u32,
 }
 
-/// The part of one of so many gateways.
+/// Returns the share of one gateway among this number of gateways.
 pub fn share_of(allowance: &RetryAllowance, gateways: u32) -> RetryLimits {
     let users = (f64::from(gateways) * SLACK_DIVISOR_SHARE).max(f64::from(MIN_GATEWAYS));
-    // Less than one would allow none, however much requests earn.
+    // The slack is also the cap of the budget: below one no retry would ever be allowed.
     let slack = (f64::from(allowance.slack) / users).max(1.0);
     RetryLimits {
         ratio: f64::from(allowance.permille) / 1000.0 * EARNED_SHARE,
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -1,7 +1,7 @@
-//! Which workers can be chosen at all, by what they report.
+//! Index of the workers that can take requests, built from their reports.
 //!
-//! A replica is a candidate while its head says that it is open, no member says that it leaves and
-//! none has ended.
+//! A replica is a candidate while its head reports that it is open, no member reports that it
+//! leaves and none has ended.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -14,31 +14,31 @@
 };
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Largest difference that a gateway's own preference makes between two replicas, in milliseconds.
+/// Largest cost that a gateway's preference adds to a replica, in milliseconds.
 ///
-/// Gateways hear the same loads late. If each chose the best by them, all would choose the same
-/// one until they heard of that.
+/// All gateways see the same delayed loads. Without differing preferences all would choose the
+/// same replica until its higher load is reported.
 const PREFERENCE_MS: f64 = 30.0;
 
-/// A worker that takes requests: a plain one, or the head of a replica.
+/// A worker that takes requests: one without replicas, or the head of a replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidate {
     pub(crate) id: WorkerId,
     pub(crate) address: SocketAddr,
-    /// Whether it is in this gateway's availability zone.
+    /// Whether the worker is in this gateway's availability zone.
     pub(crate) same_zone: bool,
     pub(crate) slots: u32,
-    /// Whether the replica's members are in several fabric domains.
+    /// Whether the replica's members are in more than one fabric domain.
     pub(crate) cross_domain: bool,
-    /// This gateway's preference against it, in milliseconds.
+    /// Cost from this gateway's preference, in milliseconds.
     pub(crate) bias_ms: f64,
 }
 
-/// The candidates by what they serve, made anew where a report has changed something.
+/// The candidates by service and model, rebuilt whenever the table of workers has changed.
 #[derive(Debug)]
 pub(crate) struct CandidateIndex {
     zone: ZoneId,
-    /// Seed of this gateway's preferences; none where it has no preference.
+    /// Seed of this gateway's preferences; `None` without preferences.
     seed: Option<u64>,
     revision: u64,
     replicas: HashMap<(ServiceName, ModelName), Vec<Candidate>>,
@@ -46,7 +46,7 @@
 }
 
 impl CandidateIndex {
-    /// Creates the index of a gateway in this zone.
+    /// Creates an empty index for a gateway in this zone.
     pub(crate) fn new(zone: &ZoneId) -> Self {
         Self {
             zone: zone.clone(),
@@ -57,23 +57,23 @@
         }
     }
 
-    /// Draws preferences from the identity of the gateway.
+    /// Derives preferences from the identity of the gateway.
     pub(crate) fn with_preferences(mut self, local: &DaemonId) -> Self {
         self.seed = Some(xxh3_64_with_seed(local.as_bytes(), 0));
         self
     }
 
-    /// Heads of the replicas of a model.
+    /// Returns the heads of a model's replicas.
     pub(crate) fn replicas(&self, key: &(ServiceName, ModelName)) -> &[Candidate] {
         self.replicas.get(key).map_or(&[], Vec::as_slice)
     }
 
-    /// Workers of a service without replicas.
+    /// Returns the workers of a service without replicas.
     pub(crate) fn plain(&self, service: &ServiceName) -> &[Candidate] {
         self.plain.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in what has changed in the table.
+    /// Rebuilds the index if the table has changed.
     pub(crate) fn refresh(&mut self, table: &WorkerTable) {
         if self.revision == table.revision() {
             return;
@@ -120,13 +120,13 @@
     }
 }
 
-/// Epochs of the replicas of which a member leaves or has ended.
+/// Returns the epochs of replicas with a member that leaves or has ended.
 fn broken_epochs(table: &WorkerTable) -> BTreeSet<Epoch> {
     let broken = table.iter().filter(|entry| entry.report.leaving || !entry.is_there());
     broken.filter_map(|entry| entry.report.membership.as_ref()).map(|m| m.epoch).collect()
 }
 
-/// Epochs of the replicas whose members are in several fabric domains.
+/// Returns the epochs of replicas whose members are in more than one fabric domain.
 fn cross_domain_epochs(table: &WorkerTable) -> BTreeSet<Epoch> {
     let mut domains: HashMap<Epoch, Option<&DomainId>> = HashMap::new();
     let mut cross_domain = BTreeSet::new();
--- a/crates/gateway/src/estimate.rs
+++ b/crates/gateway/src/estimate.rs
@@ -1,18 +1,18 @@
-//! What follows from an engine's figures, and from how often a model is asked for.
+//! Estimates of the requests that gateways begin before they see each other's load.
 
 use std::time::Duration;
 
 use hollowbarrow_fleet::{Engine, ModelSpec};
 use tokio::time::Instant;
 
-/// Time after which gateways have surely heard what another one began: its report, its home's, the
-/// leader's view and the ways between them.
+/// Upper bound on the delay until other gateways see a request that one began: its report, that of
+/// its primary controller, the leader's view and the network latency between them.
 const REPORT_DELAY: Duration = Duration::from_millis(250);
 
-/// Time over which arrivals are averaged.
+/// Time constant over which arrivals are averaged.
 const AVERAGING_TIME: Duration = Duration::from_secs(1);
 
-/// How often a model is asked for here: a count that decays with time.
+/// Request rate for a model at this gateway: a count that decays exponentially.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ArrivalRate {
     count: f64,
@@ -24,14 +24,14 @@
         Self { count: 0.0, updated: now }
     }
 
-    /// Counts a request.
+    /// Records a request.
     pub(crate) fn record(&mut self, now: Instant) {
         self.count = self.decayed(now) + 1.0;
         self.updated = now;
     }
 
-    /// Requests that came within the time of hearing, the newest one left out: it is there because
-    /// it came, and says nothing of the others.
+    /// Returns the estimated number of requests within the report delay. The newest one is left out:
+    /// the estimate is taken because it arrived, so counting it would bias the rate.
     pub(crate) fn unreported(&self, now: Instant) -> f64 {
         (self.decayed(now) - 1.0).max(0.0) * REPORT_DELAY.div_duration_f64(AVERAGING_TIME)
     }
@@ -42,8 +42,8 @@
     }
 }
 
-/// Requests that gateways begin at a model's replicas before they hear of each other, where as many
-/// come as end: none where the length of answers is not known.
+/// Estimates the requests that all gateways begin at a model's replicas within the report delay,
+/// assuming that as many begin as end; `None` if the usual length of answers is unknown.
 pub(crate) fn unreported_arrivals(
     engine: &Engine,
     spec: &ModelSpec,
--- a/crates/gateway/src/loads.rs
+++ b/crates/gateway/src/loads.rs
@@ -1,45 +1,45 @@
-//! What is under way at a worker, as one gateway knows it.
+//! The load of a worker, as one gateway sees it.
 //!
-//! A replica that lost a member goes on to take requests while nothing moves. It shows in what
-//! has come of its answers lately, here or at other gateways, long before it is proved.
+//! A replica that lost a member still accepts requests although it is stalled. The missing progress
+//! of its answers, here and at other gateways, shows this long before the loss is confirmed.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Passes without anything of an answer after which a worker seems to stand still.
+/// Decoding iterations without progress of any answer after which a worker seems stalled.
 const STALLED_ITERATIONS: f64 = 2.5;
-/// Weight of the newest outcome in a worker's share of failures.
+/// Weight of the newest outcome in a worker's failure rate.
 const OUTCOME_WEIGHT: f64 = 0.2;
-/// Time in which that share halves where no further outcome comes.
+/// Time in which the failure rate halves without further outcomes.
 const FAILING_HALF_LIFE: Duration = Duration::from_secs(10);
-/// Silence that is borne beyond that where this gateway's own answers are awaited.
+/// Time without progress that is allowed beyond the expected one for this gateway's requests.
 const LOCAL_SLACK: Duration = Duration::from_millis(120);
-/// The same for what other gateways told, which is older.
+/// The same for the progress that other gateways report, which is older.
 const SHARED_SLACK: Duration = Duration::from_millis(350);
 
-/// What this gateway knows of a worker by its own requests.
+/// Load and outcomes of this gateway's requests at a worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LocalLoad {
     pub(crate) active: u32,
     pub(crate) waiting_ms: f64,
-    /// When something of an answer last came.
+    /// When part of an answer was last received.
     pub(crate) progress: Option<Instant>,
-    /// Since when requests have been under way without a break.
+    /// Since when there has always been a request in flight.
     pub(crate) busy_since: Option<Instant>,
-    /// Share of failures when it last changed, and when that was.
+    /// Failure rate at the time of its last change, `failing_changed`.
     failing: f64,
     failing_changed: Option<Instant>,
     pub(crate) failures: u32,
     pub(crate) ejected_until: Option<Instant>,
 }
 
-/// What all gateways together have under way at a worker.
+/// Load of a worker from several gateways.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SharedLoad {
     pub(crate) active: u32,
     pub(crate) waiting_ms: f64,
-    /// When something of an answer last came to any gateway.
+    /// When any gateway last received part of an answer.
     pub(crate) progress: Option<Instant>,
 }
 
@@ -56,15 +56,15 @@
         self.active = self.active.saturating_sub(1);
     }
 
-    /// Share of failures now. It fades while nothing is sent: a worker that works again would not be
-    /// chosen for what it failed before, and could not show it.
+    /// Returns the current failure rate. It decays without requests: else a recovered worker would
+    /// not be chosen because of its old failures, and could not lower the rate.
     pub(crate) fn failing(&self, now: Instant) -> f64 {
         let age =
             self.failing_changed.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.failing * 0.5f64.powf(age.as_secs_f64() / FAILING_HALF_LIFE.as_secs_f64())
     }
 
-    /// Notes whether a request failed.
+    /// Records whether a request failed.
     pub(crate) fn record_result(&mut self, failed: bool, now: Instant) {
         let outcome = if failed { 1.0 } else { 0.0 };
         let failing = self.failing(now);
@@ -72,15 +72,15 @@
         self.failing_changed = Some(now);
     }
 
-    /// Since when an answer has been awaited in vain, if one is.
+    /// Returns since when requests have been in flight without progress; `None` without requests.
     fn silent_since(&self) -> Option<Instant> {
         let busy = self.busy_since.filter(|_| self.active > 0)?;
         Some(self.progress.map_or(busy, |at| at.max(busy)))
     }
 }
 
-/// Whether nothing has come from a worker for longer than its passes and the prompts that it has
-/// to read explain.
+/// Returns whether a worker has sent nothing for longer than its decoding iterations and waiting
+/// prompts explain.
 pub(crate) fn is_stalled(
     local: Option<&LocalLoad>,
     shared: &SharedLoad,
@@ -97,7 +97,7 @@
     shared_since.is_some_and(|since| silence(since) > expected + SHARED_SLACK)
 }
 
-/// Time within which something should come from a worker that is busy.
+/// Returns the time within which a busy worker is expected to send part of an answer.
 pub(crate) fn expected_silence_ms(iteration_ms: f64, waiting_ms: f64) -> f64 {
     iteration_ms * STALLED_ITERATIONS + waiting_ms
 }
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -1,13 +1,15 @@
 //! Chooses the worker for a request.
 //!
-//! Candidates follow from the workers' reports: a replica takes requests while
-//! its head says that it is open, no member says that it leaves, and the
-//! leading controller does not withhold it. Among them the one with the
-//! shortest estimated time to the first event is chosen, from the engine's
-//! figures, this gateway's requests and what others were reported to have.
+//! Candidates come from the workers' reports: a replica takes requests while
+//! its head reports that it is open, no member reports that it leaves, and the
+//! leading controller does not withhold it. The picker chooses the candidate
+//! with the lowest cost, mainly the estimated time to the first event. The
+//! estimate uses the engine's parameters, this gateway's requests in flight and
+//! the reported load from other gateways.
 //!
-//! Trade-off: figures of other gateways are up to half a second old. That is
-//! why the choice counts what this gateway sent since, and is not repeated.
+//! Trade-off: the load from other gateways is up to half a second old. The
+//! estimate therefore adds the requests that this gateway has sent since, and a
+//! choice is not revised later.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -28,51 +30,51 @@
 use crate::loads::{LocalLoad, SharedLoad, expected_silence_ms, is_stalled};
 use crate::shared_view::SharedView;
 
-/// Cost of a worker in another zone, in milliseconds: far more than the way there takes. Gateways
-/// know late what others have under way, and where those of one zone share its replicas fewer
-/// choose by the same late figures. Measured on days with lost workers: 0.014 more worth at 40 ms
-/// than at 12, 0.015 more at 160 than at 40, and no difference that was shown at 400.
+/// Cost of a worker in another zone, in milliseconds: far more than the network latency. Gateways
+/// see each other's load with a delay, and if the gateways of a zone share only its replicas, fewer
+/// gateways choose from the same outdated load. While workers are lost, 12 ms and 40 ms give worse
+/// results, and 400 ms gives no better ones.
 const OTHER_ZONE_COST_MS: f64 = 160.0;
-/// Cost of a new connection to a worker, in milliseconds: more than it takes, since workers accept
-/// few of them at a time.
+/// Cost of a new connection to a worker, in milliseconds: more than the time to connect, because
+/// workers accept few connections at a time.
 const NEW_CONNECTION_COST_MS: f64 = 12.0;
-/// Cost of each request under way at a replica, in milliseconds.
+/// Cost of each request in flight at a replica, in milliseconds.
 const ACTIVE_REQUEST_COST_MS: f64 = 3.0;
 /// Cost of a worker that fails every request, in milliseconds.
 const FAILING_COST_MS: f64 = 400.0;
-/// Failures in a row after which a worker is left out for a time.
+/// Consecutive failures after which a worker is ejected for a time.
 const FAILURES_TO_EJECT: u32 = 2;
-/// Shortest and longest time for which a worker is left out.
+/// Shortest and longest ejection of a worker.
 const EJECTION_TIME: (Duration, Duration) = (Duration::from_millis(800), Duration::from_secs(6));
-/// Part of its even share of free places that a gateway uses: somewhat more, since gateways get
-/// uneven shares of callers.
+/// Multiple of its even share of the free slots that a gateway may use. It is above one because
+/// callers are spread unevenly over gateways.
 const FREE_SLOT_FACTOR: f64 = 1.2;
-/// Requests that plain workers are given at once for each of their slots.
+/// Concurrent requests for each slot of a worker without replicas.
 const PLAIN_SLOT_FACTOR: u32 = 2;
 
 /// Why no worker was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoWorker {
-    /// None takes requests.
+    /// No worker takes requests.
     Unknown,
-    /// All have as much as they can work on.
+    /// All workers are at capacity.
     Full,
-    /// All have asked for no requests; the first wants some again after this time.
+    /// All workers are backing off; the earliest backoff ends after this time.
     Backoff(Duration),
-    /// All that have room take only so many a second.
+    /// All workers with free capacity have a rate limit, and no permit is available.
     Limited(LimitedWait),
 }
 
-/// When a request may go to workers that take only so many a second.
+/// When a permit for a rate-limited worker can be expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitedWait {
-    /// It may be at any moment, so that the request can wait for that.
+    /// Soon enough that the request can wait for it.
     Soon,
-    /// It is not before this time.
+    /// Not before this time has passed.
     Later(Duration),
 }
 
-/// A worker that was chosen.
+/// The chosen worker.
 #[derive(Clone, Debug)]
 pub struct PickedWorker {
     /// Its identity.
@@ -83,53 +85,53 @@
     pub prefill_ms: f64,
     /// Estimated time to the first event.
     pub first_event_ms: f64,
-    /// Estimated time of one pass, within which a stream should move.
+    /// Estimated time of one decoding iteration, in which a stream should progress.
     pub iteration_ms: f64,
-    /// What allows the request there, where the worker takes only so many a second.
+    /// Permit for the request, if the worker has a rate limit.
     pub permit: Option<Permit>,
 }
 
-/// What a request asks of a worker.
+/// Properties of a request that decide which worker it may go to.
 #[derive(Clone, Copy, Debug)]
 pub struct PickFacts<'a> {
-    /// The service that it goes to.
+    /// Requested service.
     pub service: &'a Service,
-    /// The model that it asks for.
+    /// Requested model.
     pub model: Option<&'a ModelName>,
     /// Tokens of its prompt.
     pub prompt_tokens: u32,
-    /// Workers that were tried already.
+    /// Workers that earlier attempts used.
     pub excluded: &'a [WorkerId],
-    /// Addresses to which a kept connection waits.
+    /// Addresses with an idle connection.
     pub kept: &'a HashSet<SocketAddr>,
-    /// For how long it can wait for a permit, and whether it has waited already.
+    /// How long the request can wait for a permit, and whether it already waits.
     pub permit_wait: PermitWait,
 }
 
-/// How a request waits for a permit where all workers that have room need one.
+/// State of a request's wait for a permit, needed if all workers with free capacity have a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitWait {
-    /// Time that is left to wait.
+    /// Remaining time to wait.
     pub left: Duration,
-    /// Whether it has begun to wait.
+    /// Whether the wait has begun.
     pub waiting: bool,
 }
 
-/// The cheapest candidate, and one that would be cheaper with a permit.
+/// The cheapest usable candidate, and the worker that would be cheaper if it had a permit.
 struct Choice<'a> {
     candidate: &'a Candidate,
     better_with_permit: Option<WorkerId>,
 }
 
-/// Why none of the candidates is chosen.
+/// Why no candidate can be chosen.
 enum NoChoice {
-    /// For this reason.
+    /// The reason that is returned to the caller of `pick`.
     Reason(NoWorker),
-    /// These need permits, which are not there.
+    /// These workers need permits, and none are available.
     NeedPermits(Vec<String>),
 }
 
-/// Knows the workers and chooses among them.
+/// Keeps the table of workers and their load, and chooses workers for requests.
 #[derive(Debug)]
 pub struct WorkerPicker {
     table: WorkerTable,
@@ -137,16 +139,16 @@
     view: SharedView,
     local: HashMap<WorkerId, LocalLoad>,
     reported: HashMap<WorkerId, SharedLoad>,
-    /// Workers that want no requests from this gateway.
+    /// Workers that asked this gateway for a backoff, or that leave.
     backoffs: BackoffTable<WorkerId>,
-    /// Workers that take only so many requests a second.
+    /// Rate limits of workers, and the permits for them.
     limits: UpstreamLimits,
-    /// How often each model is asked for here.
+    /// Request rate for each model at this gateway.
     arrivals: HashMap<(ServiceName, ModelName), ArrivalRate>,
 }
 
 impl WorkerPicker {
-    /// Creates a picker of a gateway in this zone, which knows no worker yet.
+    /// Creates a picker for a gateway in this zone, without workers.
     pub fn new(zone: &ZoneId) -> Self {
         Self {
             table: WorkerTable::new(),
@@ -160,21 +162,22 @@
         }
     }
 
-    /// Prefers some replicas to others that are as good, by the identity of this gateway.
+    /// Adds a preference among equally good replicas that differs between gateways.
     pub fn with_preferences(mut self, local: &DaemonId) -> Self {
         self.candidates = self.candidates.with_preferences(local);
         self
     }
 
-    /// Takes reports of workers in.
+    /// Merges workers' reports into the table.
     pub fn merge(&mut self, reports: Vec<WorkerReport>, now: Instant) {
         for report in reports {
             self.table.merge(report, now);
         }
     }
 
-    /// Takes the leading controller's view in; older ones are passed over. False for one that is
-    /// so old that whoever passed it on is cut off from the leader.
+    /// Applies a view of the leading controller, unless it is older than the current one. Returns
+    /// false if the view is so old that the controller which passed it on is partitioned from the
+    /// leader.
     pub fn apply_view(&mut self, view: &FleetView, now: Instant) -> bool {
         if self.view.is_newer(view) {
             self.limits.take_told(&view.limits, now);
@@ -182,32 +185,32 @@
         self.view.apply(view, &self.reported, now)
     }
 
-    /// The controller that issues permits, as last told.
+    /// Returns the controller that issues permits, from the last view.
     pub fn issuer(&self) -> Option<&DaemonId> {
         self.view.leader()
     }
 
-    /// Digest of the table of workers.
+    /// Returns the hash of the table of workers.
     pub fn digest(&self) -> u64 {
         self.table.digest()
     }
 
-    /// Number of workers known.
+    /// Returns the number of workers in the table.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Gateways that share the workers, as last told.
+    /// Returns the number of gateways that share the workers, from the last view.
     pub fn gateways(&self) -> u32 {
         self.view.gateways()
     }
 
-    /// Whether no worker is known.
+    /// Returns whether the table has no workers.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Forgets workers that have gone.
+    /// Removes departed workers, and workers without a report for longer than `silence`.
     pub fn prune(&mut self, silence: Duration, now: Instant) {
         self.table.expire(silence, now);
         let table = &self.table;
@@ -216,7 +219,7 @@
         self.limits.tidy(|id| table.get(&WorkerId::from(id)).is_some());
     }
 
-    /// What this gateway has under way, to be told to controllers.
+    /// Returns this gateway's load for each worker, to be reported to controllers.
     pub fn loads(&mut self, now: Instant) -> Vec<WorkerLoad> {
         let mut loads = Vec::new();
         self.reported.clear();
@@ -243,7 +246,7 @@
     ///
     /// # Errors
     ///
-    /// Says why no worker can be given the request now.
+    /// Fails with the reason if no worker can take the request now.
     pub fn pick(&mut self, facts: &PickFacts<'_>, now: Instant) -> Result<PickedWorker, NoWorker> {
         self.candidates.refresh(&self.table);
         let without_permit = self.limits.lacking(self.gateways(), now);
@@ -348,9 +351,9 @@
         Ok((worker, choice.better_with_permit))
     }
 
-    /// The cheapest candidate; workers that are left out, or seem to stand still, are used only
-    /// where no other is there, and those that want no requests, or need permits that are not there,
-    /// not even then.
+    /// Returns the cheapest candidate. Workers that are ejected or seem stalled are used only if no
+    /// other is available; workers that are backing off, or need a permit that is not available,
+    /// are never used.
     fn choose<'a>(
         &self,
         candidates: &'a [Candidate],
@@ -409,7 +412,8 @@
         Ok(Choice { candidate, better_with_permit })
     }
 
-    /// Requests under way at a worker: this gateway's now, and those of others as last told.
+    /// Returns a worker's load: this gateway's current requests, and those of other gateways from
+    /// the last view.
     fn load_of(&self, id: &WorkerId) -> SharedLoad {
         let local = self.local.get(id);
         let others = self.view.others(id);
@@ -424,116 +428,118 @@
         self.local.get(id).map_or(0, |local| local.active)
     }
 
-    /// Gateways among which free places are divided: all, or as many as begin a request before they
-    /// hear of each other again, where those are fewer.
+    /// Returns the number of gateways among which free slots are divided: all gateways, or the
+    /// number of requests that all gateways begin before the next reports arrive, if that is lower.
     ///
-    /// Their requests are estimated from this gateway's own, and from what is under way: gateways
-    /// get uneven shares of callers, and what is refused is not under way.
+    /// The number of requests is the larger of two estimates: from this gateway's arrivals, and
+    /// from the requests in flight. The first can be wrong because callers are spread unevenly over
+    /// gateways, the second because rejected requests are not in flight.
     fn competitors(&self, local_arrivals: f64, answered: Option<f64>) -> f64 {
         let gateways = f64::from(self.gateways());
         let Some(answered) = answered else { return gateways };
         (local_arrivals * gateways).max(answered).clamp(1.0, gateways)
     }
 
-    /// Requests that this gateway may have under way at a worker: what it had when it last told,
-    /// and its part of the places that were free then.
+    /// Returns the number of requests that this gateway may have in flight at a worker: its number
+    /// in the last view, and its share of the slots that were free then.
     ///
-    /// So all gateways together stay near the worker's places although each knows of the others
-    /// late: once none is free, each begins a request only when one of its own has ended.
+    /// This keeps all gateways together near the worker's capacity although each sees the others'
+    /// load with a delay: without free slots, a gateway begins a request only when one of its own
+    /// has ended.
     fn local_limit(&self, candidate: &Candidate, slots: u32, competitors: f64) -> u32 {
         let free = f64::from(slots.saturating_sub(self.view.all(&candidate.id).active));
         let share = free * FREE_SLOT_FACTOR / competitors;
-        // A part of a place is given now and then.
+        // Round up with the probability of the fractional part.
         let share = (share + rand::random::<f64>()).floor() as u32;
         self.view.local(&candidate.id).active + share
     }
 
-    /// Notes that a request went to a worker.
+    /// Records that a request was assigned to a worker.
     pub fn begin(&mut self, id: &WorkerId, prefill_ms: f64, now: Instant) {
         self.local.entry(id.clone()).or_default().begin(prefill_ms, now);
     }
 
-    /// Notes that a prompt was read, or will not be.
+    /// Records that the worker has processed a prompt, or never will.
     pub fn end_prefill(&mut self, id: &WorkerId, prefill_ms: f64) {
         if let Some(local) = self.local.get_mut(id) {
             local.waiting_ms = (local.waiting_ms - prefill_ms).max(0.0);
         }
     }
 
-    /// Notes that a request is no longer under way.
+    /// Records that a request is no longer in flight.
     pub fn end(&mut self, id: &WorkerId) {
         if let Some(local) = self.local.get_mut(id) {
             local.end();
         }
     }
 
-    /// Notes that something of an answer came.
+    /// Records that part of an answer was received.
     pub fn record_progress(&mut self, id: &WorkerId, now: Instant) {
         self.local.entry(id.clone()).or_default().progress = Some(now);
     }
 
-    /// When something of an answer last came from a worker.
+    /// Returns when part of an answer was last received from a worker.
     pub fn progress(&self, id: &WorkerId) -> Option<Instant> {
         self.local.get(id).and_then(|local| local.progress)
     }
 
-    /// Notes that a worker asked for no requests from this gateway for some time.
+    /// Records a backoff that a worker asked of this gateway.
     pub fn record_backoff(&mut self, id: &WorkerId, backoff: Duration, now: Instant) {
         self.backoffs.note_asked(id, backoff, now);
     }
 
-    /// Notes that a worker said that it is about to end; false where that is known.
+    /// Records a worker's notice that it leaves; returns false if that was known.
     pub fn record_leaving(&mut self, id: &WorkerId) -> bool {
         self.backoffs.note_leaving(id)
     }
 
-    /// Gives a permit back that was taken for a request which did not go.
+    /// Returns the permit of a request that was not sent.
     pub fn give_back(&mut self, id: &WorkerId, permit: Permit) {
         self.limits.give_back(id, permit);
     }
 
-    /// What to tell the issuer of permits now, if there is anything.
+    /// Returns the message that is due to the issuer of permits, if any.
     pub fn permits_due(&mut self, now: Instant) -> Option<PermitAsk> {
         self.limits.due(now)
     }
 
-    /// Takes in the permits that were issued.
+    /// Adds issued permits.
     pub fn take_grant(&mut self, grant: &PermitGrant, now: Instant) {
         self.limits.take_grant(grant, now);
     }
 
-    /// Notes that a request begins to wait for a permit.
+    /// Records that a request begins to wait for a permit.
     pub fn begin_wait(&mut self) {
         self.limits.begin_wait();
     }
 
-    /// Notes that a request waits for a permit no more.
+    /// Records that a request no longer waits for a permit.
     pub fn end_wait(&mut self) {
         self.limits.end_wait();
     }
 
-    /// Notes what a worker said of its limit; true where that is another one now.
+    /// Records a worker's notice of its rate limit; returns true if the limit changed.
     pub fn record_limit(&mut self, id: &WorkerId, notice: LimitWord) -> bool {
         self.limits.note(id, notice)
     }
 
-    /// Requests a second that a worker takes from all gateways, if it has named a limit.
+    /// Returns the rate that a worker accepts from all gateways together, if it stated a limit.
     pub fn limit(&self, id: &WorkerId) -> Option<RequestRate> {
         self.limits.limit(id)
     }
 
-    /// Why a worker is to be sent nothing now; none where it may be sent requests.
+    /// Returns why a worker must not be sent requests now; `None` if it may be.
     pub fn backoff(&self, id: &WorkerId, now: Instant) -> Option<BackoffReason> {
         self.backoffs.reason(id, now)
     }
 
-    /// Whether a worker is left out since it has failed several times in a row.
+    /// Returns whether a worker is ejected after consecutive failures.
     pub fn is_ejected(&self, id: &WorkerId, now: Instant) -> bool {
         let until = self.local.get(id).and_then(|local| local.ejected_until);
         until.is_some_and(|until| now < until)
     }
 
-    /// Notes how a request ended at a worker; true where the worker is left out now.
+    /// Records the outcome of a request at a worker; returns true if the worker is now ejected.
     pub fn record_outcome(&mut self, id: &WorkerId, good: bool, now: Instant) -> bool {
         let local = self.local.entry(id.clone()).or_default();
         local.record_result(!good, now);
--- a/crates/gateway/src/shared_view.rs
+++ b/crates/gateway/src/shared_view.rs
@@ -1,6 +1,7 @@
-//! What the leading controller last told of the workers' loads, and who gets no requests.
+//! The leading controller's last view: loads of the workers, and workers that are withheld.
 //!
-//! It is up to half a second old: what this gateway has sent since is counted beside it.
+//! A view is up to half a second old. The requests that this gateway has sent since are counted
+//! separately.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -10,19 +11,19 @@
 
 use crate::loads::SharedLoad;
 
-/// Views by which one that comes by another way may be late.
+/// Number of views by which a view from another controller may be late.
 const MAX_LATE_VIEWS: u64 = 3;
 
-/// Requests under way at a worker as last told.
+/// Load of a worker in the last view.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReportedLoad {
-    /// Those of all gateways.
+    /// Load from all gateways.
     all: SharedLoad,
-    /// Those of this gateway among them.
+    /// Part of it that this gateway had reported.
     local: SharedLoad,
 }
 
-/// What the leading controller last told.
+/// The last view of the leading controller.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedView {
     version: (Term, u64),
@@ -33,9 +34,9 @@
 }
 
 impl SharedView {
-    /// Takes a newer view in, and passes older ones over; `reported` is what this gateway last told
-    /// of its own requests. False for a view that is so old that whoever passed it on is cut off
-    /// from the leader.
+    /// Applies a view if it is newer than the current one; `reported` is the load that this gateway
+    /// last reported. Returns false if the view is so old that the controller which passed it on is
+    /// partitioned from the leader.
     pub(crate) fn apply(
         &mut self,
         view: &FleetView,
@@ -64,37 +65,37 @@
         true
     }
 
-    /// Whether a view is newer than the one that was last taken.
+    /// Returns whether a view is newer than the current one.
     pub(crate) fn is_newer(&self, view: &FleetView) -> bool {
         (view.term, view.number) > self.version
     }
 
-    /// The controller that told.
+    /// Returns the controller that leads, by the last view.
     pub(crate) fn leader(&self) -> Option<&DaemonId> {
         self.leader.as_ref()
     }
 
-    /// Gateways that share the workers.
+    /// Returns the number of gateways that share the workers.
     pub(crate) fn gateways(&self) -> u32 {
         self.gateways.max(1)
     }
 
-    /// Whether a worker must get no new requests.
+    /// Returns whether a worker must not be sent new requests.
     pub(crate) fn is_withheld(&self, id: &WorkerId) -> bool {
         self.withheld.contains(id)
     }
 
-    /// What all gateways had under way at a worker.
+    /// Returns the load of a worker from all gateways.
     pub(crate) fn all(&self, id: &WorkerId) -> SharedLoad {
         self.loads.get(id).copied().unwrap_or_default().all
     }
 
-    /// What this gateway had among that.
+    /// Returns the load of a worker from this gateway.
     pub(crate) fn local(&self, id: &WorkerId) -> SharedLoad {
         self.loads.get(id).copied().unwrap_or_default().local
     }
 
-    /// What the other gateways had among that.
+    /// Returns the load of a worker from the other gateways.
     pub(crate) fn others(&self, id: &WorkerId) -> SharedLoad {
         let load = self.loads.get(id).copied().unwrap_or_default();
         SharedLoad {
