--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,44 +1,45 @@
-//! Cuts a stream into whole events.
+//! Splits a stream into complete events.
 //!
-//! Invariant: what comes out is what went in, cut only between events; a part
-//! of an event stays inside until its end has come.
+//! Invariant: the output equals the input, split only between events. A partial
+//! event is buffered until its end has arrived.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event.
+/// Size limit of one event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events that came together.
+/// Complete events that became available together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventChunk {
-    /// Their bytes.
+    /// Bytes of the events.
     pub bytes: Bytes,
-    /// Number of the last one that has a number.
+    /// Number of the last numbered event.
     pub last_id: Option<u64>,
 }
 
-/// An event that is larger than any can be.
+/// An event exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is too large")]
+#[error("an event is larger than 1 MiB")]
 pub struct LongEventError;
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffered: BytesMut,
 }
 
 impl EventSplitter {
-    /// Creates a splitter without bytes.
+    /// Creates a splitter with an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes in; returns the events that are whole now, without those that the reader has.
+    /// Adds bytes and returns the events that are complete now. Events numbered up to `after`, which
+    /// the reader already has, are dropped.
     ///
     /// # Errors
     ///
-    /// Fails where an event is larger than any can be.
+    /// Fails if an event exceeds the size limit.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -65,13 +66,13 @@
         Ok((!chunk.bytes.is_empty()).then_some(chunk))
     }
 
-    /// Bytes of an event whose end has not come.
+    /// Returns the bytes of the incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffered
     }
 }
 
-/// Where the first event ends: behind an empty line.
+/// Returns the end of the first event, which is after an empty line.
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
     let mut start = 0;
     while let Some(offset) = bytes[start..].iter().position(|byte| *byte == b'\n') {
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -1,4 +1,4 @@
-//! Counts requests while they are under way, here and at their worker.
+//! Counts requests while they are in flight, at this gateway and at their worker.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,7 +8,7 @@
 use crate::core::GatewayCore;
 use crate::picker::PickedWorker;
 
-/// Counts a request as under way here.
+/// Counts a request as in flight at this gateway until it is dropped.
 pub(crate) struct InFlightGuard(Arc<GatewayCore>);
 
 impl InFlightGuard {
@@ -24,27 +24,28 @@
     }
 }
 
-/// Counts a request as under way at a worker.
+/// Counts a request as in flight at a worker until it is dropped.
 pub(crate) struct WorkerAttempt {
     core: Arc<GatewayCore>,
     pub(crate) worker: PickedWorker,
+    /// Whether the worker may still have to process the prompt.
     prefilling: bool,
-    /// Whether the request has gone to the worker.
+    /// Whether the request was sent to the worker.
     sent: AtomicBool,
 }
 
 impl WorkerAttempt {
-    /// Creates the flight of a request that was counted at its worker.
+    /// Creates the attempt of a request that is already counted at its worker.
     pub(crate) fn new(core: &Arc<GatewayCore>, worker: PickedWorker) -> Self {
         Self { core: Arc::clone(core), worker, prefilling: true, sent: AtomicBool::new(false) }
     }
 
-    /// Notes that the request goes to the worker.
+    /// Records that the request is sent to the worker.
     pub(crate) fn record_sent(&self) {
         self.sent.store(true, Ordering::Relaxed);
     }
 
-    /// Notes that something of the answer came.
+    /// Records that part of the answer was received.
     pub(crate) fn record_progress(&mut self) {
         let mut picker = self.core.picker();
         if std::mem::take(&mut self.prefilling) {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Puts a gateway together, runs it and stops it.
+//! Starts and stops a gateway.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -16,30 +16,30 @@
 use crate::links::{ask_for_permits, handle_message, report_to_controllers};
 use crate::protocol::CallerProtocol;
 
-/// Time in which whoever hands out callers notices that this gateway is not ready.
+/// Time in which load balancers notice that this gateway is not ready.
 const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2500);
-/// Time that is kept for the process to end before it is ended.
+/// Part of the stop time that is left for the process to exit before it is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(300);
-/// Pause between two looks at what is still under way while stopping.
+/// Interval at which the requests in flight are checked while stopping.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Why a gateway could not start.
+/// Error from starting a gateway.
 #[derive(Debug, Error)]
 pub enum StartGatewayError {
-    /// A setting that a gateway needs is not there.
+    /// A setting that a gateway needs is missing.
     #[error("the setting {0} is missing")]
     Missing(&'static str),
-    /// An address cannot be listened on.
+    /// The gateway cannot listen on an address.
     #[error("cannot listen on {address}, set as {field}")]
     Listen {
         /// Setting that names the address.
         field: &'static str,
         /// The address.
         address: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// Other daemons cannot be served.
+    /// The links to other daemons could not be started.
     #[error("cannot serve other daemons")]
     Links(#[from] StartLinksError),
 }
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Names the setting that is missing or whose address cannot be listened on.
+    /// Fails if a setting is missing, or if an address cannot be listened on.
     pub fn start(
         settings: MemberSettings,
         protocol: Arc<dyn CallerProtocol>,
@@ -69,7 +69,7 @@
         tokio::spawn(serve_http(callers, stopped, handler));
         let handler = Arc::new(ReadinessHandler(Arc::clone(&core)));
         tokio::spawn(async move {
-            // Readiness is told until the process ends: nobody sends on this channel.
+            // Readiness checks are answered until the process ends: nothing is sent on this channel.
             let (_open, never) = watch::channel(false);
             serve_http(readiness, never, handler).await;
         });
@@ -83,8 +83,8 @@
         Ok(Self { core, stop })
     }
 
-    /// Stops as planned: calls itself not ready, serves on until no new callers come, lets what
-    /// is under way end, and returns.
+    /// Stops gracefully: reports not ready, serves until load balancers have noticed that, and
+    /// returns when the requests in flight have ended or the stop time is over.
     pub async fn stop(&self) {
         let core = &self.core;
         let limit = Instant::now() + Duration::from_millis(core.settings.stop_ms.into());
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,19 +1,19 @@
-//! Takes requests of callers to workers.
+//! Routes callers' requests to workers.
 //!
-//! A gateway holds no durable state. What it needs to know (the configuration
-//! in force, the workers, what others have under way) controllers tell it
-//! several times a second, and it goes on with what it last heard. How callers
-//! and workers spell their messages comes from a [`CallerProtocol`].
+//! A gateway holds no durable state. Controllers send it the active
+//! configuration, the table of workers and the load from other gateways several
+//! times a second; without new messages it continues with the last received
+//! state. A [`CallerProtocol`] defines the wire format of callers and workers.
 //!
 //! Invariants:
 //!
-//! - A caller gets a worker's whole answer to its own request, or an answer
-//!   that cannot be taken for one.
-//! - Only where the request certainly did not run is the caller told so.
-//! - A request that may run only once is sent again only where it certainly did
-//!   not run.
-//! - A request under which several workers have ended one after the other is sent
-//!   to none for a time.
+//! - A caller receives a worker's complete answer to its own request, or an
+//!   answer that cannot be mistaken for one.
+//! - An answer states that the request did not run only if that is certain.
+//! - A request that may run only once is retried only if it certainly did not
+//!   run.
+//! - A request that crashed several workers in a row is quarantined: it is sent
+//!   to no worker for a time.
 
 mod attempt;
 pub mod budget;
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,7 +1,7 @@
-//! How callers and workers spell what a gateway decides on.
+//! Interface to the wire format of callers and workers.
 //!
-//! A gateway knows no header and no path of its own: whoever runs it brings a
-//! [`CallerProtocol`], which only translates and keeps no state.
+//! A gateway defines no header and no path itself. Its user supplies a
+//! [`CallerProtocol`], which only translates messages and keeps no state.
 
 use std::time::Duration;
 
@@ -12,96 +12,96 @@
 use hyper::{HeaderMap, StatusCode, header::HeaderName};
 use thiserror::Error;
 
-/// What a request says of itself before its body.
+/// Contents of a request's head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// Identity, which workers repeat in their answers.
+    /// Identity of the request, which workers repeat in their answers.
     pub id: String,
-    /// Host that it names, with or without a port.
+    /// Requested host, with or without a port.
     pub host: String,
     /// Path without the query.
     pub path: String,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub target: String,
-    /// Model that it asks for.
+    /// Requested model.
     pub model: Option<ModelName>,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens of its answer.
+    /// Largest number of tokens of the answer.
     pub answer_tokens: u32,
-    /// How long its caller waits.
+    /// How long the caller waits.
     pub deadline: Option<Duration>,
-    /// Key of its organisation.
+    /// Key of the organisation.
     pub key: Option<String>,
 }
 
-/// Why a request cannot be served whatever the configuration.
+/// Why the head of a request is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadFault {
-    /// It has no host, several or one that is no name.
-    #[error("the host is missing, doubled or not valid")]
+    /// The request has no host, several hosts or an invalid host.
+    #[error("the host is missing, repeated or not valid")]
     Host,
-    /// It has no identity.
+    /// The request has no valid identity.
     #[error("the identity is missing or not valid")]
     Identity,
-    /// A header holds something that it must not.
+    /// A header is repeated or has an invalid value.
     #[error("a header is not valid")]
     Header,
 }
 
-/// What a gateway adds to a request that it sends on.
+/// What a gateway adds to a request that it sends to a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts<'a> {
-    /// The worker that it is meant for.
+    /// Worker that the request is meant for.
     pub worker: &'a WorkerId,
     /// Name of the organisation, if the route needs one.
     pub organisation: Option<&'a str>,
-    /// Time that is left for the answer.
+    /// Time until the deadline.
     pub remaining: Duration,
-    /// Number of the last event that the caller has, where a stream is taken up again.
+    /// Number of the last event that the caller has, if a stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
 }
 
-/// What the head of a worker's answer says.
+/// Contents of the head of a worker's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// Whether the worker vouches for the answer.
+    /// Whether the worker has signed the answer.
     pub signed: bool,
     /// Whether the worker states that it did not run the request.
     pub not_run: bool,
-    /// Whether another worker has the address now.
+    /// Whether another worker now has the address.
     pub misdirected: bool,
-    /// What the worker says of requests to come.
+    /// The worker's notices: its limit, a backoff, or that it leaves.
     pub notice: UpstreamWord,
 }
 
-/// Translates between the messages of a platform and a gateway.
+/// Translates between a gateway and the messages of a platform.
 pub trait CallerProtocol: Send + Sync + 'static {
-    /// Reads a whole configuration.
+    /// Parses a complete configuration.
     ///
     /// # Errors
     ///
-    /// Lists what cannot be read.
+    /// Fails with the list of faults.
     fn read_deployment(&self, text: &str) -> Result<Deployment, Vec<DeploymentFault>>;
 
-    /// Header by which requests are named to workers and answers name their request.
+    /// Returns the header that carries a request's identity to workers and back in answers.
     fn identity_header(&self) -> HeaderName;
 
-    /// Whether a request asks if this daemon is ready.
+    /// Returns whether a request is a readiness check.
     fn is_readiness_check(&self, head: &Parts) -> bool;
 
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// Says why the request cannot be served.
+    /// Fails with the reason why the head is not valid.
     fn read_head(&self, head: &Parts) -> Result<CallerHead, HeadFault>;
 
-    /// Headers of a request as they go to a worker.
+    /// Returns the headers with which a request is sent to a worker.
     fn upstream_headers(&self, caller: &HeaderMap, facts: &SendFacts<'_>) -> HeaderMap;
 
-    /// Reads the head of a worker's answer.
+    /// Parses the head of a worker's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,13 +1,13 @@
-//! Streams: events are passed on as they come, and a broken stream is taken up
-//! by another worker where its route allows.
+//! Streamed answers: forwards events as they arrive, and resumes a broken stream
+//! at another worker if its route allows that.
 //!
-//! The head of the answer goes to the caller with the first event, so that a
-//! worker that fails before can be replaced unseen. Afterwards only whole
-//! events are passed on: where a worker breaks off within an event, what the
-//! next one sends from the last whole event on fits.
+//! The head of the answer is sent to the caller with the first event, so a worker
+//! that fails before that can be replaced unnoticed. Only complete events are
+//! forwarded: if a worker fails within an event, the next worker can continue
+//! after the last complete one.
 //!
-//! Invariant: the events of one answer rise without a gap or a repeat, and the
-//! answer ends as whole only where its last worker ended it as whole.
+//! Invariant: the event numbers of one answer increase without a gap or a repeat,
+//! and the answer ends as complete only if its last worker completed it.
 
 use std::sync::Arc;
 
@@ -35,10 +35,11 @@
 use crate::watch::{ProgressWatch, WatchError};
 use crate::whole::{forwarded_headers, read_answer};
 
-/// Silence that is borne where the same worker goes on with other streams, as a multiple.
+/// Multiple of the progress timeout that is allowed while the worker makes progress on other
+/// streams.
 const BUSY_FACTOR: u32 = 3;
 
-/// A worker's stream that is being read.
+/// A worker's stream that is currently read.
 struct OpenStream {
     body: Incoming,
     lease: ConnectionLease,
@@ -46,26 +47,26 @@
     splitter: EventSplitter,
 }
 
-/// What reading a stream led to.
+/// Result of reading from a stream.
 enum ReadStep {
     Chunk(EventChunk),
     End,
     Broken(AttemptUpstreamError),
 }
 
-/// A request whose answer is a stream.
+/// A request whose answer is streamed.
 struct StreamRun {
     core: Arc<GatewayCore>,
     request: CallerRequest,
     history: AttemptHistory,
     open: Option<OpenStream>,
     last_id: Option<u64>,
-    /// When the last piece went on to the caller.
+    /// When the last chunk was forwarded to the caller.
     last_chunk: Option<Instant>,
     _in_flight: InFlightGuard,
 }
 
-/// Sends a request until its stream has begun, and answers the caller.
+/// Sends a request to workers until a stream has begun, and returns the answer to the caller.
 pub(crate) async fn run_stream(core: Arc<GatewayCore>, request: CallerRequest) -> HttpAnswer {
     let in_flight = InFlightGuard::new(&core);
     let ticket = match admit_request(&core, &request).await {
@@ -109,7 +110,7 @@
         refusal.to_answer(self.request.remaining())
     }
 
-    /// Makes one attempt up to its first event.
+    /// Makes one attempt, up to its first event.
     async fn begin(&mut self) -> BeginStep {
         let attempt = match choose_worker(&self.core, &self.request, &self.history).await {
             Ok(attempt) => attempt,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Sends the request, and gives the worker up where it is silent for too long.
+    /// Sends the request, and abandons the worker at the progress timeout.
     async fn send(
         &mut self,
         attempt: &WorkerAttempt,
@@ -191,7 +192,8 @@
         error
     }
 
-    /// A worker's own failure goes to the caller, unless another worker may do better.
+    /// Reads an answer with an error status. A server error is followed by another attempt if one is
+    /// allowed; else the answer is forwarded to the caller.
     async fn handle_error_answer(
         &mut self,
         answer: SentAnswer,
@@ -222,7 +224,7 @@
         }
     }
 
-    /// The answer, whose further events follow as they come.
+    /// Returns the answer, whose body reads further events on demand.
     fn into_answer(self, head: hyper::http::response::Parts, first: Option<Bytes>) -> HttpAnswer {
         let Some(first) = first else {
             return Response::from_parts(head, AnswerBody::whole(Bytes::new()));
@@ -237,7 +239,7 @@
         Response::from_parts(head, AnswerBody::Pieces(Box::pin(chunks)))
     }
 
-    /// The next events; none where the stream is whole.
+    /// Returns the next events; `None` at the end of a complete stream.
     async fn next_chunk(&mut self) -> Option<Result<Bytes, CutAnswerError>> {
         loop {
             let error = match self.read().await {
@@ -271,7 +273,7 @@
         self.last_id = chunk.last_id.or(self.last_id);
     }
 
-    /// The stream is whole: its connection may carry another request.
+    /// Records that the stream is complete, and returns its connection for reuse.
     fn finish(&mut self) {
         if let Some(open) = self.open.take() {
             open.lease.give_back();
@@ -281,7 +283,8 @@
         }
     }
 
-    /// Has other workers go on from the last event until one does.
+    /// Resumes the stream after the last event at another worker, with as many attempts as are
+    /// allowed.
     async fn resume(&mut self, error: AttemptUpstreamError) -> Result<(), AttemptUpstreamError> {
         let Some(open) = self.open.take() else { return Err(error) };
         let worker = open.attempt.worker.id.clone();
@@ -321,7 +324,7 @@
         }
     }
 
-    /// Reads until whole events are there.
+    /// Reads until complete events are available.
     async fn read(&mut self) -> ReadStep {
         let after = self.last_id;
         let Some(mut open) = self.open.take() else { return ReadStep::End };
@@ -349,7 +352,7 @@
             match open.splitter.push(bytes, after) {
                 Ok(Some(chunk)) => break ReadStep::Chunk(chunk),
                 Ok(None) => {}
-                Err(_) => break ReadStep::Broken(broken("an event is too large")),
+                Err(_) => break ReadStep::Broken(broken("an event is larger than 1 MiB")),
             }
         };
         self.open = Some(open);
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -1,4 +1,4 @@
-//! Requests whose answer is passed on when it is there whole.
+//! Buffered answers: forwarded to the caller once they are complete.
 
 use std::sync::Arc;
 
@@ -20,10 +20,10 @@
 use crate::timeouts::answer_timeout;
 use crate::watch::ProgressWatch;
 
-/// Largest answer that is held whole.
+/// Size limit of a buffered answer.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// A worker's whole answer.
+/// A worker's complete answer.
 pub(crate) struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Headers of a worker's answer that concern the caller.
+/// Returns the headers of a worker's answer that are forwarded to the caller.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let forwarded = headers
         .iter()
@@ -48,7 +48,7 @@
     forwarded.collect()
 }
 
-/// Sends a request until it is answered, and answers the caller.
+/// Sends a request to workers until one answers, and returns the answer to the caller.
 pub(crate) async fn run_buffered(core: Arc<GatewayCore>, request: CallerRequest) -> HttpAnswer {
     let mut history = match admit_request(&core, &request).await {
         Ok(ticket) => AttemptHistory::new(ticket),
@@ -77,7 +77,7 @@
             }
             Err(AttemptError::NoWorker(refusal)) => refusal,
         };
-        // A worker's own failure says more than that nobody else was there.
+        // A worker's error answer tells the caller more than the refusal of a later attempt.
         if let Some(answer) = error_answer {
             core.metrics.count_request("answered");
             return answer.into_http();
@@ -133,7 +133,7 @@
     })
 }
 
-/// Reads an answer to its end and gives its connection back.
+/// Reads an answer to its end and returns its connection for reuse.
 pub(crate) async fn read_answer(
     answer: SentAnswer,
     deadline: Instant,
