--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! What every part of a gateway uses.
+//! State and tools that all parts of a gateway share.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, RwLock};
@@ -21,14 +21,15 @@
 use crate::primary::PrimarySelector;
 use crate::protocol::{AnswerFacts, CallerProtocol};
 
-/// Time after which a connection to a worker that does not come up is tried a second time.
+/// Time after which a second attempt to connect to a worker starts.
 const FIRST_CONNECT: Duration = Duration::from_millis(150);
 
-/// Longest age of the leader's word on what is newest. With the time for which a leader trusts its
-/// own majority (600 ms) it stays under the two seconds in which a change is in force everywhere.
+/// Longest age of the leader's confirmation of the newest configuration. Together with the 600 ms
+/// for which a leader treats its own majority as valid, it stays below the two seconds within which
+/// a change is active everywhere.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1200);
 
-/// State and tools of a gateway.
+/// Shared state of a gateway.
 pub(crate) struct GatewayCore {
     pub(crate) settings: MemberSettings,
     pub(crate) protocol: Arc<dyn CallerProtocol>,
@@ -40,17 +41,17 @@
     picker: Mutex<WorkerPicker>,
     primary: Mutex<PrimarySelector>,
     crashes: Mutex<CrashGuard>,
-    /// Copies of requests that nobody has seen answered.
+    /// Requests in progress, and their duplicates.
     pub(crate) duplicates: CopyGate,
-    /// Versions of the configuration that the leader has told of.
+    /// Versions of the configuration that the leader has published.
     known: Mutex<VersionTimes>,
-    /// Told when a request waits for a permit.
+    /// Notified when a request waits for a permit.
     pub(crate) permits_requested: Notify,
-    /// Told when the issuer of permits has answered.
+    /// Notified when the issuer of permits has answered.
     pub(crate) permits_answered: Notify,
     pub(crate) in_flight: AtomicU32,
     pub(crate) suspension: Arc<WakeWatch>,
-    /// When the leader's word last came.
+    /// When a current view of the leader was last received.
     last_view: Mutex<Option<Instant>>,
 }
 
@@ -81,12 +82,12 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub(crate) fn routes(&self) -> Option<Arc<RouteTable>> {
         self.routes.read().expect("no holder of the lock panics").clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Activates a configuration if it is newer than the active one; returns whether it is.
     pub(crate) fn install_routes(&self, table: RouteTable) -> bool {
         let mut routes = self.routes.write().expect("no holder of the lock panics");
         let newer = routes.as_ref().is_none_or(|current| table.version() > current.version());
@@ -96,22 +97,23 @@
         newer
     }
 
-    /// Version of the configuration in force; 0 means none.
+    /// Returns the version of the active configuration; 0 means none.
     pub(crate) fn version(&self) -> u64 {
         self.routes().map_or(0, |routes| routes.version())
     }
 
-    /// For how long this gateway has known of a configuration that it lacks; zero if of none.
+    /// Returns for how long this gateway has known of a newer configuration that it lacks; zero if
+    /// it lacks none.
     pub(crate) fn configuration_lag(&self, now: Instant) -> Duration {
         self.known().lag(self.version(), now)
     }
 
-    /// Whether the configuration in force may lack something that was acknowledged.
+    /// Returns whether the active configuration may lack an acknowledged change.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
         !self.currency(now).is_current(MAX_CONFIRMATION_AGE) || self.was_suspended_since_view()
     }
 
-    /// What this gateway knows of how old its configuration is.
+    /// Returns what is known about the currency of the active configuration.
     pub(crate) fn currency(&self, now: Instant) -> CurrencyFacts {
         let last_view = *self.last_view.lock().expect("no holder of the lock panics");
         CurrencyFacts {
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Whether the machine was suspended since the leader's word last came.
+    /// Returns whether the machine was suspended since the last current view.
     fn was_suspended_since_view(&self) -> bool {
         let last = *self.last_view.lock().expect("no holder of the lock panics");
         last.is_some_and(|last| self.suspension.has_slept_since(last, Instant::now()))
@@ -135,17 +137,17 @@
         self.picker.lock().expect("no holder of the lock panics")
     }
 
-    /// Requests that end the workers they run on.
+    /// Locks the record of requests that crash workers.
     pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashGuard> {
         self.crashes.lock().expect("no holder of the lock panics")
     }
 
-    /// The controller through which this gateway hears of the others, if one is there.
+    /// Returns the primary controller, if one is available.
     pub(crate) fn primary(&self, now: Instant) -> Option<DaemonId> {
         self.primary.lock().expect("no holder of the lock panics").choose(now)
     }
 
-    /// Takes in a view that a controller passed on.
+    /// Applies a view that a controller passed on.
     pub(crate) fn apply_view(&self, from: &DaemonId, view: &FleetView, now: Instant) {
         self.known().note(view.deployment, now);
         self.crashes().apply_view(view, now);
@@ -164,13 +166,13 @@
         }
     }
 
-    /// Whether new callers may be sent here.
+    /// Returns whether new callers may be sent to this gateway.
     pub(crate) fn is_ready(&self) -> bool {
         let initialised = self.routes().is_some() && !self.picker().is_empty();
         initialised && !self.was_suspended_since_view() && !self.stopping.load(Ordering::Relaxed)
     }
 
-    /// The page of metrics, with the number of messages that were dropped.
+    /// Returns the page of metrics, with this number of dropped messages.
     pub(crate) fn metrics_text(&self, dropped: u64) -> String {
         self.metrics.to_text(&GatewayLevels {
             in_flight: self.in_flight().into(),
@@ -180,19 +182,20 @@
         })
     }
 
-    /// Idle connections that this gateway may keep to one worker of a service: its part of half of
-    /// what the worker accepts, so that all gateways leave room for requests.
+    /// Returns how many idle connections this gateway may keep to one worker of a service: its share
+    /// of half of the connections that the worker accepts. The other half stays free for requests of
+    /// all gateways.
     pub(crate) fn most_idle(&self, service: &Service) -> usize {
         let part = service.max_connections / self.picker().gateways() / 2;
         part.max(1) as usize
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Chooses a worker and counts the request there until the flight is dropped.
+    /// Chooses a worker and counts the request there until the attempt is dropped.
     pub(crate) fn begin_attempt(
         self: &Arc<Self>,
         facts: &PickFacts<'_>,
@@ -205,22 +208,21 @@
         Ok(WorkerAttempt::new(self, worker))
     }
 
-    /// Notes how a request ended at a worker.
+    /// Records the outcome of a request at a worker.
     pub(crate) fn record_outcome(&self, worker: &WorkerId, good: bool) {
         if self.picker().record_outcome(worker, good, Instant::now()) {
             log::info!("event=worker_left_out worker={}", **worker);
         }
     }
 
-    /// Notes that an attempt failed at a worker, where that speaks against it.
+    /// Records a failed attempt at a worker, if the worker is to blame.
     pub(crate) fn record_failure(&self, worker: &WorkerId, error: &AttemptUpstreamError) {
         if error.blames_upstream() {
             self.record_outcome(worker, false);
         }
     }
 
-    /// Notes what the head of a worker's answer says of requests to come, whose request was sent
-    /// at this time.
+    /// Records the notices in the head of a worker's answer; `sent` is when the request was sent.
     pub(crate) fn record_answer_head(&self, worker: &WorkerId, facts: &AnswerFacts, sent: Instant) {
         let notice = &facts.notice;
         if facts.not_run {
@@ -240,13 +242,13 @@
         if notice.leaving && self.picker().record_leaving(worker) {
             log::info!("event=worker_backoff worker={} reason=leaving", **worker);
         }
-        // Whoever misdirects has the address of the worker and is another one.
+        // A misdirected answer comes from another worker that now has the address.
         if !facts.misdirected {
             self.record_limit(worker, notice, WordSpan { sent, came: Instant::now() });
         }
     }
 
-    /// Notes how many requests a worker says that it takes.
+    /// Records the rate limit that a worker states.
     fn record_limit(&self, worker: &WorkerId, notice: &UpstreamWord, span: WordSpan) {
         let limit = match notice.limit {
             Ok(limit) => limit,
@@ -261,19 +263,19 @@
         }
     }
 
-    /// Counts a request that goes to a worker which has named a limit.
+    /// Counts a request if its worker has stated a limit.
     pub(crate) fn count_limited_send(&self, worker: &WorkerId) {
         if self.picker().limit(worker).is_some() {
             self.metrics.count_limited_send();
         }
     }
 
-    /// Whether a worker wants no requests now.
+    /// Returns whether a worker must not be sent requests now.
     pub(crate) fn is_backing_off(&self, worker: &WorkerId) -> bool {
         self.picker().backoff(worker, Instant::now()).is_some()
     }
 
-    /// Whether a worker has sent something of any answer within this time.
+    /// Returns whether a worker has sent part of any answer within this time.
     pub(crate) fn has_progress(&self, worker: &WorkerId, within: Duration) -> bool {
         let progress = self.picker().progress(worker);
         progress.is_some_and(|at| at.elapsed() < within)
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,9 +1,9 @@
-//! What a gateway knows of requests that end the workers they run on.
+//! Quarantine of requests that crash the workers they run on, at one gateway.
 //!
-//! The leading controller decides by what it has put together from all gateways. A gateway goes by
-//! what it has seen itself until the leader has heard of that, and while there is none. It tells
-//! controllers of each worker that ended under a request, and contradicts them where it has seen
-//! such a request answered.
+//! The leading controller decides from the crashes that all gateways report. A gateway uses the
+//! crashes that it observed itself until the leader has received them, and while there is no
+//! leader. It reports to controllers each worker whose process terminated while running a request,
+//! and contradicts a quarantine if it has seen the request answered.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -15,74 +15,77 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time for which what a former leader told is kept: a new one hears of it from gateways and
-/// controllers within two seconds of having settled.
+/// Time for which quarantines of a former leader are kept. A new leader receives the crash records
+/// from gateways and controllers within two seconds after its election has settled.
 const FORMER_LEADER_TIME: Duration = Duration::from_secs(5);
-/// Time for which a request that is known to end workers is held after it has done so here, until
-/// the leader tells for how long.
+/// Quarantine of a request on the leader's list after it has crashed a worker here, until the
+/// leader sends its own time.
 const LOCAL_QUARANTINE: Duration = Duration::from_secs(5);
 
-/// Time for which what this gateway has seen itself holds a request, after its last run: the leader
-/// hears of it meanwhile, and knows whether others have answered the request.
+/// Time after its last crash here for which this gateway quarantines a request by its own
+/// observations. The leader receives them meanwhile, and knows whether the request was answered
+/// elsewhere.
 const LOCAL_VERDICT_TIME: Duration = Duration::from_secs(2);
-/// Silence of the leader after which a gateway goes by what it has seen itself: an election, and
-/// the first views after it.
+/// Time without a view after which a gateway uses only its own observations: an election, and the
+/// first views after it.
 const LEADER_SILENCE: Duration = Duration::from_millis(1500);
 
-/// Time for the leader to hear that a request which it suspects was answered here, and to tell what
-/// follows: two hellos and a view, several times over.
+/// Time for the leader to receive that a quarantined request was answered here, and to send its
+/// decision: two hellos and a view, several times over.
 const CONTRADICTION_TIME: Duration = Duration::from_millis(1000);
 
-/// What the leading controller told of a request.
+/// A quarantine that the leading controller published.
 #[derive(Clone, Copy, Debug)]
 struct LeaderQuarantine {
-    /// From when on it is held.
+    /// Start of the quarantine here.
     from: Instant,
-    /// Until when it is held.
+    /// End of the quarantine.
     until: Instant,
-    /// Until when this is believed although the leader tells of it no more.
+    /// Time until which the quarantine is kept although the leader no longer lists it.
     keep_until: Instant,
-    /// Since when the leader has told that the hold is over.
+    /// Since when the leader has reported that the quarantine has ended.
     ended_since: Option<Instant>,
 }
 
-/// Views of the leader that make up one window for trials, about a second.
+/// Views of the leader in one window for probe requests, about a second.
 const VIEWS_PER_WINDOW: u64 = 11;
 
-/// Decides which requests are sent to no worker.
+/// Decides which requests are quarantined.
 #[derive(Debug, Default)]
 pub struct CrashGuard {
-    /// Tells this gateway from others.
+    /// Hash of this gateway's identity.
     local: u64,
-    /// Gateways that there are, as last told.
+    /// Number of gateways in the last view.
     gateways: u32,
     watch: CrashWatch,
     from_leader: HashMap<RequestDigest, LeaderQuarantine>,
-    /// Rank of the view by which the leader last told, and when that came.
+    /// Term and number of the last view of the leader.
     view_version: (Term, u64),
+    /// When that view was received.
     last_view: Option<Instant>,
-    /// When a worker last ended here under each request that this gateway would hold by itself.
+    /// Time of the last crash here of each request that this gateway quarantines by its own
+    /// observations.
     local_crashes: HashMap<RequestDigest, Instant>,
 }
 
 impl CrashGuard {
-    /// Creates a guard that knows of no request.
+    /// Creates a guard without quarantined requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Has it try requests by itself in other windows than other gateways do.
+    /// Sets the gateway's identity, so that gateways send probe requests in different windows.
     pub fn with_identity(mut self, local: &DaemonId) -> Self {
         self.local = xxh3_64(local.as_bytes());
         self
     }
 
-    /// For how long a request is to be sent to no worker; none where it may be.
+    /// Returns the remaining quarantine of a request; `None` if it may be sent to a worker.
     pub fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         self.leader_quarantine(request, now).max(self.local_quarantine(request, now))
     }
 
-    /// For how long a request is held by what the leader told.
+    /// Returns the remaining quarantine by the leader's decision.
     fn leader_quarantine(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         let quarantine =
             self.from_leader.get(&request).filter(|quarantine| now >= quarantine.from)?;
@@ -95,7 +98,7 @@
         trial_hold(self.local, request, window, self.gateways, elapsed)
     }
 
-    /// For how long a request is held by what was seen here alone.
+    /// Returns the remaining quarantine by the observations of this gateway alone.
     fn local_quarantine(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         let within = |at: Instant, time: Duration| now.saturating_duration_since(at) < time;
         let silent = self.last_view.is_none_or(|at| !within(at, LEADER_SILENCE));
@@ -105,7 +108,8 @@
         self.watch.hold_left(request, now).filter(|_| applies)
     }
 
-    /// Notes that a worker ended while it ran a request that was sent to it at this time.
+    /// Records that a worker's process terminated while running a request that was sent to it at
+    /// this time.
     pub fn record_crash(
         &mut self,
         request: RequestDigest,
@@ -124,17 +128,17 @@
         }
     }
 
-    /// Notes that a request was answered whole.
+    /// Records a complete answer to a request.
     pub fn record_answer(&mut self, request: RequestDigest, now: Instant) {
         self.watch.note_answer(request, now);
     }
 
-    /// Whether such a request was answered here lately.
+    /// Returns whether a request with this content was answered here recently.
     pub fn was_answered(&self, request: RequestDigest) -> bool {
         self.watch.was_answered(request)
     }
 
-    /// Takes in what the leader tells; what comes late is passed over.
+    /// Applies the quarantines in a view of the leader, unless the view is outdated.
     pub fn apply_view(&mut self, view: &FleetView, now: Instant) {
         let view_version = (view.term, view.number);
         if view_version <= self.view_version {
@@ -159,7 +163,7 @@
 
     fn apply_entry(&mut self, entry: &HeldRequest, now: Instant) {
         if let Some(ms) = entry.released_ms {
-            // Told again and again, it is the same word: what ends workers since counts.
+            // The same release is in many views. Crashes after the time of the release still count.
             let at = now.checked_sub(Duration::from_millis(ms.into())).unwrap_or(now);
             self.watch.release(entry.request, at);
             self.from_leader.remove(&entry.request);
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Records to tell controllers now.
+    /// Returns the crash records that are due to controllers now.
     pub fn due(&mut self, now: Instant) -> Vec<CrashRecord> {
         let fresh = |at: &Instant| now.saturating_duration_since(*at) < LOCAL_VERDICT_TIME;
         self.local_crashes.retain(|_, at| fresh(at));
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells controllers and hears from them.
+//! Messages between a gateway and the controllers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 
 use crate::core::GatewayCore;
 
-/// Pause between two reports to the home.
+/// Interval between hellos to the primary controller.
 const HELLO_INTERVAL: Duration = Duration::from_millis(75);
-/// Reports to the home for each one that goes to the other controllers too.
+/// Number of hellos to the primary controller for each one that also goes to the others.
 const HELLOS_TO_PRIMARY: u32 = 12;
-/// Reports to all controllers while there is no home, or while it does not tell this gateway of a
-/// configuration that the leader has told of: one in so many intervals.
+/// Intervals between hellos to all controllers while there is no primary controller, or while it
+/// does not deliver a configuration that the leader has published.
 const BROADCAST_INTERVALS: u32 = 4;
-/// Time for the home to deliver a configuration before the other controllers are asked: five times
-/// what it took at most over 49 changes (45 ms, from the commit to when it was in force).
+/// Time for the primary controller to deliver a configuration before the other controllers are
+/// asked: five times the longest delivery in 49 changes (45 ms from commit to activation).
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time after which workers that have gone are forgotten.
+/// Time without a report after which a worker is removed from the table.
 const WORKER_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// Tells controllers of this gateway until the process ends.
+/// Sends hellos to controllers until the process ends.
 pub(crate) async fn report_to_controllers(core: Arc<GatewayCore>, links: Arc<MemberLinks>) {
     let mut ticks = tokio::time::interval(HELLO_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -50,12 +50,12 @@
         core.client.drop_expired();
         let others = links.controllers().into_iter().filter(|id| primary.as_ref() != Some(id));
         let others: Vec<DaemonId> = others.collect();
-        // Without a configuration nothing can be served, and each moment counts.
+        // Without a configuration nothing can be served, so every interval is used.
         let intervals = if version == 0 { 1 } else { BROADCAST_INTERVALS };
         if primary.is_none() && !number.is_multiple_of(intervals) {
             continue;
         }
-        // What is due counts as told from here on.
+        // The records count as sent once `due` has returned them.
         let hello = GatewayHello { crashes: core.crashes().due(now), ..hello };
         if let Some(primary) = &primary {
             links.send(primary, FleetMessage::Gateway(hello.clone()));
@@ -71,10 +71,10 @@
     }
 }
 
-/// Tells the issuer of permits what this gateway needs of them, until the process ends.
+/// Sends this gateway's need for permits to their issuer, until the process ends.
 pub(crate) async fn ask_for_permits(core: Arc<GatewayCore>, links: Arc<MemberLinks>) {
     loop {
-        // Requests that wait are told of at once, everything else in a moment.
+        // A waiting request is reported at once, everything else at the interval.
         let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permits_requested.notified()).await;
         let (ask, issuer) = {
             let mut picker = core.picker();
@@ -86,7 +86,7 @@
     }
 }
 
-/// Takes a message of a controller.
+/// Handles a message from a controller.
 pub(crate) fn handle_message(
     core: &GatewayCore,
     links: &MemberLinks,
--- a/crates/gateway/src/primary.rs
+++ b/crates/gateway/src/primary.rs
@@ -1,11 +1,12 @@
-//! Chooses the controller through which a gateway hears of the others.
+//! Chooses the primary controller, through which a gateway receives views.
 //!
-//! What the leader and the other controllers tell goes to each gateway once, by way of its home:
-//! a controller of its own zone where one is there. So what crosses zones does not grow with the
-//! number of gateways.
+//! Messages of the leader and the other controllers reach each gateway once, through its primary
+//! controller, which is in the gateway's zone if one is available. So the traffic between zones
+//! does not grow with the number of gateways.
 //!
-//! Invariant: a home passes the leader's views on. One that does not for a moment, since it ended
-//! or is cut off from the leader, is given up, and every controller is asked.
+//! Invariant: a primary controller passes the leader's views on. One that stops doing so, because
+//! it terminated or is partitioned from the leader, is replaced; without a primary controller the
+//! gateway sends its hello to every controller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,10 +15,10 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Time without a view after which a home is given up.
+/// Time without a view after which the primary controller is replaced.
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What a gateway knows of the controllers that pass views on to it.
+/// Selects the primary controller among those that pass views on to this gateway.
 #[derive(Clone, Debug)]
 pub struct PrimarySelector {
     local: DaemonId,
@@ -28,7 +29,7 @@
 }
 
 impl PrimarySelector {
-    /// Creates the choice of a gateway in a zone, which has heard of nobody yet.
+    /// Creates the selector of a gateway in this zone, which has received no view yet.
     pub fn new(local: &DaemonId, zone: &ZoneId) -> Self {
         Self {
             local: local.clone(),
@@ -39,17 +40,17 @@
         }
     }
 
-    /// Notes that a controller passed a view on, which names where each controller is.
+    /// Records a view that a controller passed on, with the zone of each controller.
     pub fn record_view(&mut self, from: &DaemonId, places: &[ControllerPlace], now: Instant) {
         self.last_views.insert(from.clone(), now);
         self.zones = places.iter().map(|place| (place.id.clone(), place.zone.clone())).collect();
     }
 
-    /// The home from now on; none while no controller passes views on.
+    /// Chooses and returns the primary controller; `None` while no controller passes views on.
     pub fn choose(&mut self, now: Instant) -> Option<DaemonId> {
         self.last_views.retain(|_, at| now.saturating_duration_since(*at) < PRIMARY_TIMEOUT);
         let kept = self.current.take().filter(|primary| self.last_views.contains_key(primary));
-        // One that stays is better than another of the same zone.
+        // Within a zone the current one is kept.
         let precedence = |id: &&DaemonId| {
             (self.is_same_zone(id), kept.as_ref() == Some(*id), self.preference(id))
         };
@@ -61,7 +62,7 @@
         self.zones.get(id) == Some(&self.zone)
     }
 
-    /// Spreads the gateways of a zone over its controllers.
+    /// Returns a pseudo-random preference that spreads the gateways of a zone over its controllers.
     fn preference(&self, id: &DaemonId) -> u64 {
         xxh3_64(format!("{} {}", *self.local, **id).as_bytes())
     }
