--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -6,7 +6,7 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
-/// Name, unit and meaning of each metric.
+/// Name, unit and description of each metric.
 pub const GATEWAY_METRICS: &[(&str, &str, &str)] = &[
     (
         "gateway_requests",
@@ -16,32 +16,32 @@
     (
         "gateway_first_event_ms",
         "ms",
-        "Time from a request's arrival to its first event, or to its whole answer.",
+        "Time from a request's arrival to its first event, or to its complete answer.",
     ),
-    ("gateway_event_gap_ms", "ms", "Time between two pieces of a stream."),
-    ("gateway_repeats", "1", "Sends after the first, by kind: again or resumed."),
+    ("gateway_event_gap_ms", "ms", "Time between two chunks of a stream."),
+    ("gateway_repeats", "1", "Attempts after the first, by kind: again or resumed."),
     (
         "gateway_turned_away",
         "1",
-        "Requests that workers turned away unrun, by whether they asked for a backoff.",
+        "Requests that workers rejected without running them, by whether they asked for a backoff.",
     ),
-    ("gateway_limited_sends", "1", "Requests sent to workers that have named a limit."),
-    ("gateway_in_flight", "1", "Requests under way now."),
-    ("gateway_configuration_version", "1", "Version of the configuration in force."),
-    ("gateway_workers", "1", "Workers that are known, those that have gone among them."),
+    ("gateway_limited_sends", "1", "Requests sent to workers that have stated a rate limit."),
+    ("gateway_in_flight", "1", "Requests in flight."),
+    ("gateway_configuration_version", "1", "Version of the active configuration."),
+    ("gateway_workers", "1", "Workers in the table, including departed ones."),
     (
         "gateway_configuration_reading_ms",
         "ms",
-        "Time to read a configuration that came and to put it in force.",
+        "Time to parse and activate a received configuration.",
     ),
     (
         "gateway_messages_dropped",
         "1",
-        "Messages to controllers that found no room or no connection.",
+        "Messages to controllers that were dropped: the queue was full or there was no connection.",
     ),
 ];
 
-/// What a gateway counts.
+/// Instruments of a gateway's metrics.
 pub(crate) struct GatewayMetrics {
     page: MetricsPage,
     requests: Counter<u64>,
@@ -57,7 +57,7 @@
     dropped: Gauge<u64>,
 }
 
-/// What stands now, as it is read when the page is asked for.
+/// Current values of the gauges, read when the page is requested.
 pub(crate) struct GatewayLevels {
     pub(crate) in_flight: u64,
     pub(crate) version: u64,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Counts a request that ended, by a name of a bounded set.
+    /// Counts a request that ended; the outcomes are a bounded set of names.
     pub(crate) fn count_request(&self, outcome: &'static str) {
         self.requests.add(1, &[KeyValue::new("outcome", outcome)]);
     }
@@ -114,7 +114,7 @@
         self.limited_sends.add(1, &[]);
     }
 
-    /// The page of text.
+    /// Renders the page of metrics.
     pub(crate) fn to_text(&self, levels: &GatewayLevels) -> String {
         self.in_flight.record(levels.in_flight, &[]);
         self.version.record(levels.version, &[]);
