--- a/crates/gateway/tests/budget.rs
+++ b/crates/gateway/tests/budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of all gateways together, when everything fails.
+//! The retry budgets of all gateways together while every request fails.
 
 use std::time::Duration;
 
@@ -9,8 +9,9 @@
 
 const WINDOW_S: u32 = 10;
 
-/// After a calm time in which gateways save up what they may, each request fails, and would be
-/// sent again if its gateway's budget allowed: all together stay within what the window allows.
+/// Every gateway first fills its budget with successful requests. Then each request fails and is
+/// retried if its gateway's budget allows that. The sum of all retries must stay within the
+/// allowance of the window.
 #[rstest]
 #[case::one(1, 600.0)]
 #[case::few(9, 170.0)]
--- a/crates/gateway/tests/crashes.rs
+++ b/crates/gateway/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What a gateway makes of requests under which workers end, with the clock paused.
+//! A gateway's quarantine of requests that crash workers, at simulated times.
 
 use std::time::Duration;
 
@@ -49,13 +49,14 @@
         assert!(!is_quarantined(&guard, now));
         now = crash_worker(&mut guard, number, now);
     }
-    assert!(is_quarantined(&guard, now), "it needs no controller for what it has seen itself");
+    assert!(is_quarantined(&guard, now), "local crashes need no controller");
     guard.record_answer(REQUEST, now);
     assert!(!is_quarantined(&guard, now));
 }
 
-/// A gateway that had just started saw three heads end in turn under a request that the others had
-/// answered all the time. The leader let it go, and this gateway refused it for another minute.
+/// Guards against a quarantine that outlasts the leader's decision. A gateway that has just started
+/// sees three heads crash in turn while running a request that other gateways have seen answered.
+/// The leader does not quarantine the request, so this gateway must not refuse it for another minute.
 #[rstest]
 #[case::leader_publishes(true)]
 #[case::leader_is_silent(false)]
@@ -69,7 +70,7 @@
     }
     assert!(
         is_quarantined(&guard, now + Duration::from_millis(500)),
-        "the leader has not heard of it"
+        "the leader has not received the crashes yet"
     );
     if publishes {
         for number in 2..32 {
@@ -86,12 +87,12 @@
     guard.apply_view(&view(1, 5, &[60_000]), now);
     assert!(is_quarantined(&guard, now + secs(59)));
     guard.apply_view(&view(1, 4, &[]), now);
-    assert!(is_quarantined(&guard, now), "an older view says nothing");
+    assert!(is_quarantined(&guard, now), "an older view is ignored");
     guard.apply_view(&view(1, 6, &[]), now);
-    assert!(!is_quarantined(&guard, now), "the leader has let it go");
+    assert!(!is_quarantined(&guard, now), "the leader has lifted the quarantine");
 }
 
-/// A new leader has to hear first of what the former one knew.
+/// Quarantines of a former leader stay until the new one has received the crash records.
 #[rstest]
 fn quarantine_in_new_term() {
     let mut guard = CrashGuard::new();
@@ -104,8 +105,8 @@
     assert!(!is_quarantined(&guard, now + secs(6)));
 }
 
-/// A request that may be tried once more has ended the next worker: that attempt is not followed
-/// by another one, although the leader has not heard of it yet.
+/// A probe request after the quarantine crashes the next worker: no further attempt may follow,
+/// although the leader has not received that crash yet.
 #[rstest]
 fn quarantine_after_probe() {
     let mut guard = CrashGuard::new();
@@ -115,12 +116,13 @@
     let ended = crash_worker(&mut guard, 0, now);
     assert!(is_quarantined(&guard, ended));
     guard.apply_view(&view(1, 6, &[0]), ended);
-    assert!(is_quarantined(&guard, ended), "the view was made before the leader heard of it");
+    assert!(is_quarantined(&guard, ended), "the view predates the leader's record of the crash");
     guard.apply_view(&view(1, 7, &[240_000]), ended + secs(1));
     assert!(is_quarantined(&guard, ended + secs(200)));
 }
 
-/// The leader put runs together from gateways that saw no answer; this one has seen one since.
+/// The leader quarantines a request by crashes at gateways that saw no answer. A gateway that has
+/// seen an answer contradicts the quarantine.
 #[rstest]
 #[case::answered_here(true)]
 #[case::not_answered_here(false)]
@@ -130,17 +132,18 @@
     if answered {
         guard.record_answer(REQUEST, now);
     }
-    assert!(guard.due(now).is_empty(), "answers matter only where there is a suspicion");
+    assert!(guard.due(now).is_empty(), "answers are reported only for quarantined requests");
     guard.apply_view(&view(1, 5, &[60_000]), now + secs(1));
-    assert_eq!(is_quarantined(&guard, now + secs(1)), !answered, "the leader does not know of it");
+    assert_eq!(is_quarantined(&guard, now + secs(1)), !answered, "the leader lacks the answer");
     guard.apply_view(&view(1, 6, &[60_000]), now + secs(2));
-    assert!(is_quarantined(&guard, now + secs(2)), "the leader knows, and holds it all the same");
+    assert!(is_quarantined(&guard, now + secs(2)), "the leader had time to lift the quarantine");
     let due = guard.due(now + secs(1));
     assert_eq!(due.len(), usize::from(answered));
     assert!(due.iter().all(|record| record.answered_ms == Some(1000) && record.runs.is_empty()));
 }
 
-/// A hold is over at many gateways at the same moment, and copies come to all of them.
+/// A quarantine ends at many gateways at the same moment while duplicates arrive at all of them:
+/// only a few gateways may send a probe request.
 #[rstest]
 fn quarantine_end_probed_by_few() {
     let now = Instant::now();
@@ -154,11 +157,11 @@
     let guards: Vec<CrashGuard> = guards.collect();
     let probing =
         |after: Duration| guards.iter().filter(|guard| !is_quarantined(guard, now + after)).count();
-    assert!(probing(Duration::ZERO) <= 3, "{} try at once", probing(Duration::ZERO));
-    assert_eq!(probing(secs(40)), 82, "nothing came of it for a while");
+    assert!(probing(Duration::ZERO) <= 3, "{} probe at once", probing(Duration::ZERO));
+    assert_eq!(probing(secs(40)), 82, "no further crash was reported");
 }
 
-/// An operator knows that the workers were ended by something else.
+/// An operator releases a request because the workers crashed for another reason.
 #[rstest]
 fn quarantine_released() {
     let mut guard = CrashGuard::new();
@@ -176,7 +179,7 @@
     assert!(!is_quarantined(&guard, now + secs(1)));
     let due = guard.due(now + secs(1));
     let answered = due.iter().any(|record| record.answered_ms.is_some());
-    assert!(answered, "a leader that has just begun is told, too");
+    assert!(answered, "a new leader must receive the release, too");
     let start = now + Duration::from_millis(10);
     now = start;
     for number in 10..16 {
@@ -184,5 +187,5 @@
         let age = now.saturating_duration_since(start) + Duration::from_millis(10);
         guard.apply_view(&entry(number.into(), age.as_millis() as u32), now);
     }
-    assert!(is_quarantined(&guard, now), "what has ended under it since counts");
+    assert!(is_quarantined(&guard, now), "crashes after the release count");
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! The splitter against the whole text: however the bytes are cut, the same events come out.
+//! The event splitter: its output does not depend on how the input is split.
 
 use hollowbarrow_gateway::events::EventSplitter;
 use proptest::prelude::*;
@@ -11,25 +11,31 @@
 #[rstest]
 #[case::lines("\n")]
 #[case::carriage_returns("\r\n")]
-fn push_whole_events(#[case] end: &str) {
+fn push_complete_events(#[case] end: &str) {
     let text = event(1, end) + &event(2, end) + "id: 3";
     let mut splitter = EventSplitter::new();
-    let chunk = splitter.push(text.as_bytes(), None).expect("short").expect("two are whole");
+    let chunk = splitter
+        .push(text.as_bytes(), None)
+        .expect("within the size limit")
+        .expect("two are complete");
     assert_eq!(chunk.bytes, event(1, end) + &event(2, end));
     assert_eq!(chunk.last_id, Some(2));
     assert_eq!(splitter.rest(), b"id: 3");
 }
 
 #[rstest]
-fn push_drops_events_that_the_reader_has() {
+fn push_drops_known_events() {
     let text = event(4, "\n") + &event(5, "\n") + &event(6, "\n");
     let mut splitter = EventSplitter::new();
-    let chunk = splitter.push(text.as_bytes(), Some(5)).expect("short").expect("one is new");
+    let chunk = splitter
+        .push(text.as_bytes(), Some(5))
+        .expect("within the size limit")
+        .expect("one is new");
     assert_eq!(chunk.bytes, event(6, "\n"));
 }
 
 #[rstest]
-fn push_event_without_end_is_bounded() {
+fn push_bounds_incomplete_event() {
     let mut splitter = EventSplitter::new();
     let chunk = vec![b'x'; 1 << 19];
     assert!(splitter.push(&chunk, None).is_ok());
@@ -39,7 +45,7 @@
 
 proptest! {
     #[test]
-    fn push_any_cut(count in 1u64..12, lengths in proptest::collection::vec(1usize..40, 1..60)) {
+    fn push_any_split(count in 1u64..12, lengths in proptest::collection::vec(1usize..40, 1..60)) {
         let text: String = (1..=count).map(|number| event(number, "\n")).collect();
         let mut splitter = EventSplitter::new();
         let mut out = Vec::new();
@@ -51,8 +57,8 @@
             }
             let (now, later) = rest.split_at((*length).min(rest.len()));
             rest = later;
-            if let Some(chunk) = splitter.push(now, None).expect("short") {
-                prop_assert!(chunk.last_id > last, "numbers rise");
+            if let Some(chunk) = splitter.push(now, None).expect("within the size limit") {
+                prop_assert!(chunk.last_id > last, "event numbers increase");
                 last = chunk.last_id;
                 out.extend_from_slice(&chunk.bytes);
             }
@@ -64,7 +70,7 @@
     #[test]
     fn push_any_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..400), after in any::<u64>()) {
         let mut splitter = EventSplitter::new();
-        let chunk = splitter.push(&bytes, Some(after)).expect("short");
+        let chunk = splitter.push(&bytes, Some(after)).expect("within the size limit");
         let out = chunk.map_or(0, |chunk| chunk.bytes.len());
         prop_assert!(out + splitter.rest().len() <= bytes.len());
     }
--- a/crates/gateway/tests/picker.rs
+++ b/crates/gateway/tests/picker.rs
@@ -1,4 +1,4 @@
-//! The choice of workers: who may be chosen at all, and how gateways share places.
+//! The choice of workers: which can be chosen, and how gateways share slots.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -113,7 +113,7 @@
     }
 }
 
-/// A request by a gateway that keeps no connection.
+/// A request at a gateway without idle connections.
 fn facts<'a>(service: &'a Service, model: &'a ModelName) -> PickFacts<'a> {
     static NONE_KEPT: LazyLock<HashSet<SocketAddr>> = LazyLock::new(HashSet::new);
     PickFacts {
@@ -149,14 +149,14 @@
 }
 
 #[rstest]
-fn pick_none_of_which_a_member_leaves() {
+fn pick_skips_replica_with_leaving_member() {
     let mut leaving = replicas();
     leaving[3].leaving = true;
     assert_eq!(picked(&mut picker(leaving)), ["a0"]);
 }
 
 #[rstest]
-fn pick_none_that_is_withheld() {
+fn pick_skips_withheld() {
     let mut picker = picker(replicas());
     picker.apply_view(&view(2, 1, &["a0"], &[]), Instant::now());
     assert_eq!(picked(&mut picker), ["b0"]);
@@ -170,19 +170,19 @@
     let failing = WorkerId::from("a0");
     let now = Instant::now();
     assert!(!picker.record_outcome(&failing, false, now));
-    assert!(picker.record_outcome(&failing, false, now), "two failures in a row leave it out");
+    assert!(picker.record_outcome(&failing, false, now), "two consecutive failures eject it");
     assert_eq!(picked(&mut picker), ["b0"]);
     picker.apply_view(&view(2, 1, &["b0"], &[]), Instant::now());
-    assert_eq!(picked(&mut picker), ["a0"], "it is used where no other is there");
+    assert_eq!(picked(&mut picker), ["a0"], "it is used if no other is available");
 }
 
-/// What is known of `a0` a while after a request went there; `b0` answers as it should.
+/// Worker `a0` has a request in flight and may be stalled; `b0` is busier and makes progress.
 #[rstest]
 #[case::answer_awaited(100, None, true)]
-#[case::answer_late(400, None, false)]
-#[case::something_came(400, Some(350), true)]
-#[case::nothing_since(600, Some(100), false)]
-fn pick_worker_that_moves(
+#[case::answer_overdue(400, None, false)]
+#[case::progress_seen(400, Some(350), true)]
+#[case::no_progress_since(600, Some(100), false)]
+fn pick_worker_with_progress(
     #[case] now_ms: u64,
     #[case] progress_ms: Option<u64>,
     #[case] expected: bool,
@@ -197,7 +197,7 @@
         picker.record_progress(&suspect, at(ms));
     }
     let facts = facts(&service, &model);
-    // The other replica has more to do, so that this one is chosen unless it stands still.
+    // The other replica has more load, so this one is chosen unless it seems stalled.
     for _ in 0..6 {
         picker.begin(&WorkerId::from("b0"), 10.0, at(now_ms));
     }
@@ -205,11 +205,11 @@
     assert_eq!(picked, Ok(expected));
 }
 
-/// Other gateways have requests at `a0`, and nothing has come to them for a while.
+/// Other gateways have requests at `a0` and report when they last saw progress.
 #[rstest]
 #[case::lately(100, true)]
 #[case::long_ago(900, false)]
-fn pick_worker_that_moves_elsewhere(#[case] progress_ms: u32, #[case] expected: bool) {
+fn pick_worker_with_reported_progress(#[case] progress_ms: u32, #[case] expected: bool) {
     let mut reported = view(2, 2, &[], &[("a0", 3), ("b0", 9)]);
     reported.loads[0].progress_ms = Some(progress_ms);
     reported.loads[1].progress_ms = Some(20);
@@ -218,7 +218,7 @@
     assert_eq!(picked(&mut picker).contains(&"a0".to_owned()), expected);
 }
 
-/// A kept connection goes before a new one to another replica, unless that one has far less to do.
+/// A replica with an idle connection is preferred, unless another one has far less load.
 #[rstest]
 #[case::alike(0, true)]
 #[case::somewhat_busier(2, true)]
@@ -238,7 +238,7 @@
     }
 }
 
-/// Gateways that hear the same loads do not all choose the same replica.
+/// Gateways that receive the same loads must not all choose the same replica.
 #[rstest]
 fn pick_differs_among_gateways() {
     let reports: Vec<WorkerReport> = (1..=8)
@@ -278,13 +278,16 @@
     assert_eq!(pick(&mut picker, &service()), Err(NoWorker::Full));
 }
 
-/// Few of many gateways that get a request a second begin one before they hear of each other again,
-/// so that places that are free are given out, and none where there are none.
+/// With one request a second, only few of many gateways begin a request within the report delay. So
+/// a gateway may use free slots far beyond its even share, but never a replica without free slots.
 #[rstest]
 #[case::half_taken(SLOTS / 2, 1000..=1000)]
 #[case::one_free(SLOTS - 1, 100..=500)]
 #[case::none_free(SLOTS, 0..=0)]
-fn pick_of_many_gateways(#[case] active: u32, #[case] expected: std::ops::RangeInclusive<usize>) {
+fn pick_among_many_gateways(
+    #[case] active: u32,
+    #[case] expected: std::ops::RangeInclusive<usize>,
+) {
     let service = service();
     let mut picker = picker(replicas());
     picker.apply_view(&view(2, 80, &[], &[("a0", active), ("b0", active)]), Instant::now());
@@ -295,12 +298,13 @@
     assert!(expected.contains(&picked), "{picked} of 1000 were picked");
 }
 
-/// Gateways that take requests as fast as they may, and hear of each other one round late, stay
-/// near the places of the replicas; each counting only its own would pass them by far.
+/// Gateways begin as many requests as they may and see each other's load one round late. Together
+/// they must stay near the replicas' slots. If each counted only its own requests, they would
+/// exceed the slots by far.
 #[rstest]
 #[case::three(3)]
 #[case::nine(9)]
-fn pick_shares_places(#[case] count: usize) {
+fn pick_shares_slots(#[case] count: usize) {
     let service = service();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut gateways: Vec<WorkerPicker> = (0..count).map(|_| picker(replicas())).collect();
@@ -334,11 +338,11 @@
         most = most.max(in_flight.iter().map(Vec::len).sum::<usize>());
     }
     let slots = 2 * SLOTS as usize;
-    assert!(most >= slots * 3 / 4, "places stay empty: {most} of {slots}");
-    assert!(most <= slots * 3 / 2, "places are passed by far: {most} of {slots}");
+    assert!(most >= slots * 3 / 4, "slots stay free: {most} of {slots} used");
+    assert!(most <= slots * 3 / 2, "slots are exceeded by far: {most} of {slots} used");
 }
 
-/// Two open heads in different zones, of which the near one has so many requests under way.
+/// Picks between two open heads in different zones; the near one has this many requests in flight.
 fn pick_between_zones(near_active: u32) -> String {
     let mut far = report("far0", 2, 0, MembershipState::Open);
     far.zone = ZoneId::from("b");
@@ -358,21 +362,21 @@
     picked.expect("a replica takes requests").id.to_string()
 }
 
-/// Replays an uneven load: a gateway stays in its zone while a replica there has places, and goes
-/// elsewhere once it has none.
+/// Under uneven load, a gateway stays in its zone while a replica there has free slots, and uses
+/// another zone otherwise.
 #[rstest]
 #[case::both_idle(0, "near0")]
 #[case::near_busier(12, "near0")]
 #[case::near_full(26, "far0")]
-fn pick_prefers_own_zone(#[case] near_active: u32, #[case] expected: &str) {
+fn pick_prefers_local_zone(#[case] near_active: u32, #[case] expected: &str) {
     assert_eq!(pick_between_zones(near_active), expected);
 }
 
-/// Time that a worker asks for after the first refusal.
+/// Backoff that a worker asks for when it rejects a request.
 const BACKOFF: Duration = Duration::from_secs(3);
 
 #[rstest]
-fn pick_none_that_asked_for_backoff() {
+fn pick_skips_worker_in_backoff() {
     let now = Instant::now();
     let mut picker = picker(replicas());
     picker.record_backoff(&WorkerId::from("a0"), BACKOFF, now);
@@ -384,15 +388,15 @@
         picker.begin(&picked.id, 10.0, now + BACKOFF);
         *both.entry(picked.id.to_string()).or_insert(0) += 1;
     }
-    assert_eq!(both.len(), 2, "once its time is over it is used again: {both:?}");
+    assert_eq!(both.len(), 2, "it is used again after its backoff: {both:?}");
 }
 
-/// One that wants no requests is not the last resort either, other than one that only failed.
+/// A worker in backoff is not used as a last resort, unlike an ejected one.
 #[rstest]
 #[case::other_excluded(&["b0"], 0, NoWorker::Backoff(BACKOFF))]
 #[case::both_excluded(&["a0", "b0"], 0, NoWorker::Backoff(BACKOFF))]
 #[case::other_full(&[], SLOTS, NoWorker::Full)]
-fn pick_none_beside_backoff(
+fn pick_fails_beside_backoff(
     #[case] excluded: &[&str],
     #[case] in_flight: u32,
     #[case] expected: NoWorker,
@@ -408,11 +412,11 @@
 }
 
 #[rstest]
-fn pick_none_that_leaves() {
+fn pick_skips_leaving_worker() {
     let now = Instant::now();
     let mut picker = picker(replicas());
     assert!(picker.record_leaving(&WorkerId::from("a0")));
-    assert!(!picker.record_leaving(&WorkerId::from("a0")), "it is known");
+    assert!(!picker.record_leaving(&WorkerId::from("a0")), "the notice was known");
     assert_eq!(picked(&mut picker), ["b0"]);
     picker.record_leaving(&WorkerId::from("b0"));
     let (service, model) = (service(), ModelName::from("m"));
@@ -420,22 +424,22 @@
     assert_eq!(picker.pick(&facts, now).map(|worker| worker.id), Err(NoWorker::Unknown));
 }
 
-/// Replays 150 requests a second while a worker turns all away and asks for three seconds, of which
-/// one gateway sent it five and another one three.
+/// Guards against sends to a worker during its backoff. At 150 requests a second, one gateway sent
+/// five and another one three to a worker that rejected all of them and asked for three seconds.
 #[rstest]
-fn pick_replays_worker_at_its_limit() {
+fn pick_skips_rejecting_worker() {
     let start = Instant::now();
     let mut picker = picker(replicas());
     let (service, model) = (service(), ModelName::from("m"));
     let full = WorkerId::from("a0");
-    // The other one has much to do, so that it is worth a lot to use this one.
+    // The other worker is busy, so this one has a much lower cost.
     (0..12).for_each(|_| picker.begin(&WorkerId::from("b0"), 20.0, start));
     let mut asked: Option<Instant> = None;
     let mut sent = Vec::new();
     for number in 0..600 {
         let now = start + Duration::from_millis(number * 1000 / 150);
         picker.record_progress(&WorkerId::from("b0"), now);
-        let picked = picker.pick(&facts(&service, &model), now).expect("the other one has room");
+        let picked = picker.pick(&facts(&service, &model), now).expect("the other has free slots");
         picker.begin(&picked.id, 0.0, now);
         picker.end(&picked.id);
         if picked.id == full {
@@ -447,14 +451,14 @@
             picker.record_outcome(&picked.id, true, now);
         }
     }
-    let asked = asked.expect("it was tried");
+    let asked = asked.expect("the worker received a request");
     let within = sent.iter().filter(|at| **at > asked && **at < asked + BACKOFF).count();
     assert_eq!(within, 0, "{sent:?}");
 }
 
-/// A worker that has failed is tried again after a while, although the other one has room for all.
+/// A worker that has failed is used again after a while, although the other one has enough slots.
 #[rstest]
-fn pick_failed_again_after_a_while() {
+fn pick_recovered_worker() {
     let start = Instant::now();
     let mut picker = picker(replicas());
     (0..12).for_each(|_| assert!(!picked(&mut picker).is_empty()));
@@ -465,15 +469,15 @@
     let (service, model) = (service(), ModelName::from("m"));
     let mut picked_at = |seconds: u64| {
         let now = start + Duration::from_secs(seconds);
-        // Nothing of the other one's answers is awaited in vain.
+        // The other worker does not seem stalled.
         picker.record_progress(&WorkerId::from("b0"), now);
         picker.pick(&facts(&service, &model), now).expect("one serves").id.to_string()
     };
-    assert_eq!(picked_at(10), "b0", "it is no longer left out, and has failed often");
+    assert_eq!(picked_at(10), "b0", "it is no longer ejected, but its failure rate is high");
     assert_eq!(picked_at(120), "a0");
 }
 
-/// Has a worker name a limit in an answer to a request that was sent a moment ago.
+/// Records a limit that a worker states in an answer at this time.
 fn name_limit(picker: &mut WorkerPicker, id: &str, milli: u64, now: Instant) {
     let span = WordSpan { sent: now, came: now };
     let limit = Some(RequestRate(milli));
@@ -485,13 +489,13 @@
     picker.take_grant(&PermitGrant { terms: vec![terms], ..PermitGrant::default() }, now);
 }
 
-/// What a gateway asks for, by worker.
+/// Returns the number of permits that a gateway requests, by worker.
 fn asked(picker: &mut WorkerPicker, now: Instant) -> Vec<(String, u32)> {
     let ask = picker.permits_due(now).map_or(Vec::new(), |ask| ask.needs);
     ask.into_iter().map(|need| (need.upstream, need.count)).collect()
 }
 
-/// A worker that takes only so many a second has little to do, and is not chosen for that.
+/// A worker with a rate limit has little load, but is chosen only with a permit.
 #[rstest]
 fn pick_limited_with_permit_only() {
     let now = Instant::now();
@@ -499,26 +503,26 @@
     (0..12).for_each(|_| picker.begin(&WorkerId::from("b0"), 20.0, now));
     name_limit(&mut picker, "a0", 1800, now);
     assert_eq!(picked(&mut picker), ["b0"]);
-    assert_eq!(asked(&mut picker, now), [("a0".to_owned(), 32)], "later requests could use them");
+    assert_eq!(asked(&mut picker, now), [("a0".to_owned(), 32)], "for later requests");
     issue(&mut picker, "a0", 1, None, now);
     let (service, model) = (service(), ModelName::from("m"));
     let with_permit = picker.pick(&facts(&service, &model), now).expect("both serve");
     assert_eq!(*with_permit.id, "a0");
     let without = picker.pick(&facts(&service, &model), now).expect("the other one serves");
     assert_eq!(*without.id, "b0");
-    let permit = with_permit.permit.expect("one was needed");
+    let permit = with_permit.permit.expect("the worker needs a permit");
     picker.give_back(&with_permit.id, permit);
     let again = picker.pick(&facts(&service, &model), now).expect("both serve");
-    assert_eq!(*again.id, "a0", "the request did not go");
+    assert_eq!(*again.id, "a0", "the permit of the unsent request is reused");
 }
 
-/// Where all that have room are limited, a request waits for a permit that may come, and is refused
-/// at once where none can.
+/// If all workers with free slots are limited, a request waits for a permit that may come in time,
+/// and is refused at once if none can.
 #[rstest]
 #[case::not_known(None, LimitedWait::Soon)]
 #[case::in_time(Some(100), LimitedWait::Soon)]
 #[case::too_late(Some(101), LimitedWait::Later(Duration::from_millis(101)))]
-fn pick_none_of_limited(#[case] wait_ms: Option<u32>, #[case] expected: LimitedWait) {
+fn pick_fails_if_all_limited(#[case] wait_ms: Option<u32>, #[case] expected: LimitedWait) {
     let now = Instant::now();
     let mut picker = picker(replicas());
     name_limit(&mut picker, "a0", 1800, now);
@@ -533,9 +537,9 @@
     assert_eq!(refused, Err(NoWorker::Limited(expected)));
 }
 
-/// A worker in need hears from those that others told of it too.
+/// A limit that other gateways received applies here too, from the leader's view.
 #[rstest]
-fn pick_none_that_others_know_as_limited() {
+fn pick_skips_worker_limited_in_view() {
     let now = Instant::now();
     let mut picker = picker(replicas());
     let reported = UpstreamLimit {
--- a/crates/gateway/tests/primary.rs
+++ b/crates/gateway/tests/primary.rs
@@ -1,4 +1,4 @@
-//! Which controller a gateway hears through.
+//! The choice of a gateway's primary controller.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
     ControllerPlace { id: DaemonId::from(id), zone: ZoneId::from(zone) }
 }
 
-/// Views that come at given times, in milliseconds, and the home at the end.
+/// Each case lists views with their time in milliseconds, and the expected primary controller.
 #[rstest]
 #[case::nobody(&[], 0, None)]
 #[case::near_one(&[(0, "b-1"), (0, "a-1")], 0, Some("a-1"))]
 #[case::far_one_alone(&[(0, "b-1")], 0, Some("b-1"))]
-#[case::near_one_comes_back(&[(0, "b-1"), (300, "b-1"), (310, "a-1")], 320, Some("a-1"))]
+#[case::near_one_returns(&[(0, "b-1"), (300, "b-1"), (310, "a-1")], 320, Some("a-1"))]
 #[case::silent(&[(0, "a-1"), (500, "b-1")], 800, Some("b-1"))]
 #[case::all_silent(&[(0, "a-1"), (0, "b-1")], 800, None)]
 fn choose_primary(#[case] views: &[(u64, &str)], #[case] at: u64, #[case] expected: Option<&str>) {
@@ -33,7 +33,7 @@
     assert_eq!(primary, expected.map(DaemonId::from));
 }
 
-/// A home stays although another one of its zone would have been preferred.
+/// The primary controller is kept although another one of its zone has a higher preference.
 #[rstest]
 fn choose_keeps_primary() {
     let now = Instant::now();
@@ -49,7 +49,7 @@
     }
 }
 
-/// Both controllers of a zone are homes of many of its gateways.
+/// Each of the two controllers of a zone is the primary controller of many of its gateways.
 #[rstest]
 fn choose_spreads_gateways() {
     let now = Instant::now();
--- a/crates/gateway/tests/retry_after.rs
+++ b/crates/gateway/tests/retry_after.rs
@@ -1,11 +1,11 @@
-//! When refused callers come back.
+//! The Retry-After delays of refused callers.
 
 use std::time::Duration;
 
 use hollowbarrow_gateway::retry_after::{retry_delay, retry_jitter};
 use rstest::rstest;
 
-/// Callers heed a pause of up to a third of the time that is left to them.
+/// Callers accept a delay of up to a third of their remaining time.
 #[rstest]
 #[case::plain_call(1000)]
 #[case::stream(6000)]
@@ -17,8 +17,8 @@
     }
 }
 
-/// Replays many callers that are refused at one moment: no tenth of the time in which they come
-/// back gets more than its share.
+/// Many callers are refused at the same moment: the first tenth of the period in which they retry
+/// must not receive more than its share.
 #[rstest]
 fn retry_delay_spreads_callers() {
     let left = Duration::from_secs(6);
@@ -30,8 +30,8 @@
     assert!(within <= 101);
 }
 
-/// Replays callers that are refused since all workers want no requests until one moment: they do
-/// not all come back at that moment.
+/// Callers that are refused because all workers back off until the same moment must not all retry
+/// at that moment.
 #[rstest]
 fn retry_jitter_spreads_callers() {
     let left = Duration::from_secs(6);
