--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -1,4 +1,4 @@
-//! Calls of workers and operators.
+//! HTTP calls of workers and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,21 +17,21 @@
 use crate::core::ControllerCore;
 use crate::protocol::{ControlAnswer, ControlCall};
 use crate::records::{RecordFault, check_report, check_start};
-use crate::sync::{pass_on, take_report};
+use crate::sync::{accept_report, publish_report};
 
 /// Largest body of a call.
 const MAX_CALL_BYTES: usize = 16 << 20;
-/// Signs of a worker's name that are logged.
-const LOGGED_NAME: usize = 64;
+/// Characters of a worker's name that are logged.
+const MAX_LOGGED_NAME: usize = 64;
 /// Bounds on connections of workers and operators.
 const CONTROL_LIMITS: HttpLimits =
     HttpLimits { head_bytes: 16 << 10, idle: Duration::from_secs(15) };
-/// Longest time for a configuration to be committed.
+/// Time limit for committing a configuration.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest time to make sure of leading before the configuration is read.
+/// Time limit for a majority to confirm the leader before the configuration is read.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause between two looks at whether leading was confirmed.
-const CONFIRM_POLL: Duration = Duration::from_millis(10);
+/// Time between two checks whether the leader was confirmed.
+const CONFIRM_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Answers workers and operators.
 pub(crate) struct ControlHandler(pub(crate) Arc<ControllerCore>);
@@ -48,14 +48,16 @@
             Ok(body) => {
                 let path = head.uri.path();
                 match read_release_path(path).filter(|_| head.method == Method::POST) {
-                    Some(request) => release_request(core, request, path),
+                    Some(request) => release_quarantined(core, request, path),
                     None => {
                         let call = core.protocol.read_call(&head, &body.to_bytes());
                         answer_call(core, call, path).await
                     }
                 }
             }
-            Err(_) => ControlAnswer::Invalid(vec!["the body did not come whole".to_owned()]),
+            Err(_) => {
+                ControlAnswer::Invalid(vec!["the body is too large or was truncated".to_owned()])
+            }
         };
         let (status, headers, body) = core.protocol.write_answer(&answer);
         let mut response = Response::new(AnswerBody::whole(body));
@@ -67,18 +69,19 @@
 
 async fn answer_call(core: &ControllerCore, call: ControlCall, path: &str) -> ControlAnswer {
     match call {
-        ControlCall::Report(report) => take_worker(core, *report),
+        ControlCall::Report(report) => register_worker(core, *report),
         ControlCall::Remove(worker) => remove_worker(core, &worker),
         ControlCall::Replace(text) => replace_deployment(core, text, path).await,
         ControlCall::Fetch => fetch_deployment(core, path).await,
         ControlCall::Unreadable(reason) => ControlAnswer::Invalid(vec![reason]),
-        ControlCall::InvalidRecord(worker, fault) => refuse_record(core, &worker, &fault),
+        ControlCall::InvalidRecord(worker, fault) => reject_record(core, &worker, &fault),
         ControlCall::Unknown => ControlAnswer::Unknown,
     }
 }
 
-/// Lets a held request go: a call of our own operators, in the same words at every platform.
-fn release_request(
+/// Releases a request from quarantine. This call has the same form on every platform, since only
+/// operators of this system make it.
+fn release_quarantined(
     core: &ControllerCore,
     request: Result<RequestDigest, ParseContentError>,
     path: &str,
@@ -88,26 +91,26 @@
         Err(error) => return ControlAnswer::Invalid(vec![error.to_string()]),
     };
     if !core.log.view().leads {
-        return core.elsewhere(path);
+        return core.redirect_to_leader(path);
     }
     core.fleet().release(request, Instant::now());
     log::warn!("event=request_released content={:016x} by=operator", *request);
     ControlAnswer::Accepted
 }
 
-fn take_worker(core: &ControllerCore, report: WorkerReport) -> ControlAnswer {
+fn register_worker(core: &ControllerCore, report: WorkerReport) -> ControlAnswer {
     let deployment = core.deployment();
     let checked = check_report(&report, core.fleet().table(), deployment.as_deref());
     if let Err(fault) = checked {
-        return refuse_record(core, &report.id, &fault);
+        return reject_record(core, &report.id, &fault);
     }
-    take_report(core, report);
+    accept_report(core, report);
     ControlAnswer::Accepted
 }
 
-fn refuse_record(core: &ControllerCore, worker: &WorkerId, fault: &RecordFault) -> ControlAnswer {
+fn reject_record(core: &ControllerCore, worker: &WorkerId, fault: &RecordFault) -> ControlAnswer {
     core.metrics.count_refused_record(fault.problem);
-    let name: String = worker.chars().take(LOGGED_NAME).collect();
+    let name: String = worker.chars().take(MAX_LOGGED_NAME).collect();
     log::warn!(
         "event=record_refused worker={name:?} field={:?} cause={}",
         fault.field,
@@ -117,27 +120,27 @@
 }
 
 fn remove_worker(core: &ControllerCore, worker: &WorkerId) -> ControlAnswer {
-    let (checked, held, later) = {
+    let (checked, known, superseded) = {
         let fleet = core.fleet();
         let table = fleet.table();
         let newest = table.newest_of(worker.name()).map(|entry| entry.report.id.clone());
-        let later = newest.is_some_and(|newest| newest.incarnation() > worker.incarnation());
-        (check_start(worker, table), table.get(worker).is_some(), later)
+        let superseded = newest.is_some_and(|newest| newest.incarnation() > worker.incarnation());
+        (check_start(worker, table), table.get(worker).is_some(), superseded)
     };
     if let Err(fault) = checked {
-        return refuse_record(core, worker, &fault);
+        return reject_record(core, worker, &fault);
     }
-    if !held && later {
-        // A life that has ended, and of which nothing is held any more.
+    if !known && superseded {
+        // An instance that has terminated and is no longer in the table.
         return ControlAnswer::Accepted;
     }
-    if !held {
+    if !known {
         return ControlAnswer::Unavailable("the worker is not known here");
     }
     let removed = core.fleet().remove(worker, Instant::now());
     if let Some(report) = removed {
         log::info!("event=worker_removed worker={}", **worker);
-        pass_on(core, report);
+        publish_report(core, report);
     }
     ControlAnswer::Accepted
 }
@@ -154,13 +157,13 @@
         return ControlAnswer::Accepted;
     }
     if !core.log.view().leads {
-        return core.elsewhere(path);
+        return core.redirect_to_leader(path);
     }
     let document = DeploymentDocument { version, text };
     let outcome = core.log.propose(EntryPayload::Deployment(document));
     match tokio::time::timeout(COMMIT_TIMEOUT, outcome.recv_async()).await {
         Ok(Ok(ProposalOutcome::Held)) => ControlAnswer::Accepted,
-        Ok(Ok(ProposalOutcome::NoLeader)) => core.elsewhere(path),
+        Ok(Ok(ProposalOutcome::NoLeader)) => core.redirect_to_leader(path),
         _ => ControlAnswer::Unavailable("it is not known whether the configuration was committed"),
     }
 }
@@ -171,27 +174,28 @@
     ControlAnswer::Invalid(reasons)
 }
 
-/// Reads the newest configuration, which only a leader that is still confirmed can know.
+/// Reads the newest configuration. Only a leader that a majority has confirmed since the call began
+/// is certain to have it.
 async fn fetch_deployment(core: &ControllerCore, path: &str) -> ControlAnswer {
-    let asked = Instant::now();
+    let started = Instant::now();
     loop {
         let view = core.log.view();
         if !view.leads {
-            return core.elsewhere(path);
+            return core.redirect_to_leader(path);
         }
-        let confirmed = view.confirmed.is_some_and(|confirmed| confirmed >= asked);
-        if confirmed && core.is_sure_to_lead(&view, Instant::now()) {
+        let confirmed = view.confirmed.is_some_and(|confirmed| confirmed >= started);
+        if confirmed && core.is_confirmed_leader(&view, Instant::now()) {
             let document = core.newest_document();
             return match document {
                 Some(document) => ControlAnswer::Document(document.text),
-                None => ControlAnswer::Unavailable("no configuration was put in force"),
+                None => ControlAnswer::Unavailable("no configuration is in force"),
             };
         }
-        if asked.elapsed() > CONFIRM_TIMEOUT {
+        if started.elapsed() > CONFIRM_TIMEOUT {
             return ControlAnswer::Unavailable(
                 "a majority does not confirm that this daemon leads",
             );
         }
-        tokio::time::sleep(CONFIRM_POLL).await;
+        tokio::time::sleep(CONFIRM_POLL_INTERVAL).await;
     }
 }
--- a/crates/controller/src/certainty.rs
+++ b/crates/controller/src/certainty.rs
@@ -1,51 +1,54 @@
-//! Decides whether a controller may tell gateways the configuration that it holds.
+//! Decides whether a controller may send gateways the configuration that it holds.
 //!
-//! Invariant: a controller that has started tells nothing until it holds what a leader had
-//! committed. Where no leader comes up, an older configuration is better than none: gateways serve
-//! with it, and know that nobody has told them what is newest.
+//! Invariant: after its start a controller sends no configuration until its log holds everything
+//! that a leader had committed. If no leader is elected, an older configuration is better than none,
+//! so after a timeout the controller sends what it holds, as unconfirmed.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time without a confirmed leader after which a controller tells what it holds.
-const LEADERLESS_TIME: Duration = Duration::from_secs(2);
-/// Time after which it does so although it hears a leader, which its own messages may not reach.
-const BEHIND_TIME: Duration = Duration::from_secs(6);
+/// Time without a confirmed leader after which a controller sends the configuration that it holds.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time after which it does so although it receives a leader's messages: its own messages may not
+/// reach that leader.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What entitles a controller to tell the configuration that it holds.
+/// How certain it is that a controller holds the newest committed configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ConfigCertainty {
-    /// Nothing yet: what is held may be older than what is in force.
+    /// Unknown yet: the configuration held may be older than the one in force, and is not sent.
     #[default]
     Nothing,
-    /// It holds everything that was acknowledged until a moment ago.
+    /// The controller held everything acknowledged up to [`LEADERLESS_TIMEOUT`] ago.
     Complete,
-    /// It could not learn for too long whether it does, so that others come first.
+    /// The controller could not confirm for too long that its log is complete. It sends what it
+    /// holds, but later than controllers that could.
     Unconfirmed,
 }
 
-/// What a controller knows of its own log.
+/// State of a controller's log from which [`ConfigCertainty`] follows.
 #[derive(Clone, Copy, Debug)]
 pub struct CertaintyFacts {
-    /// When it started or last woke: what it held then may be older than what is in force.
+    /// When the process started or last resumed from a suspension: the configuration held then may
+    /// be older than the one in force.
     pub since: Instant,
-    /// Latest moment at which a majority confirmed the leader that it follows.
+    /// Latest time at which a majority confirmed the leader that the controller follows.
     pub confirmed: Option<Instant>,
-    /// Latest moment of which it holds everything acknowledged.
+    /// Latest time up to which the log holds everything acknowledged.
     pub complete: Option<Instant>,
 }
 
 impl CertaintyFacts {
-    /// What entitles the controller to tell now.
-    pub fn basis(&self, now: Instant) -> ConfigCertainty {
+    /// Computes the certainty at `now`.
+    pub fn certainty(&self, now: Instant) -> ConfigCertainty {
         let age = |at: Instant| now.saturating_duration_since(at);
         let complete = self.complete.filter(|at| *at > self.since);
-        if complete.is_some_and(|at| age(at) <= LEADERLESS_TIME) {
+        if complete.is_some_and(|at| age(at) <= LEADERLESS_TIMEOUT) {
             return ConfigCertainty::Complete;
         }
-        let heard = self.confirmed.map_or(self.since, |at| at.max(self.since));
-        if age(heard) > LEADERLESS_TIME || age(self.since) > BEHIND_TIME {
+        let last_confirmed = self.confirmed.map_or(self.since, |at| at.max(self.since));
+        if age(last_confirmed) > LEADERLESS_TIMEOUT || age(self.since) > CATCH_UP_TIMEOUT {
             ConfigCertainty::Unconfirmed
         } else {
             ConfigCertainty::Nothing
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! Puts a controller together, runs it and stops it.
+//! Assembles, starts and stops a controller.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -20,21 +20,22 @@
 use crate::orders::WorkerEvent;
 use crate::protocol::ControlProtocol;
 use crate::reconcile::run_leader;
-use crate::sync::{greet_controllers, log_quorum, push_deployments, take_message};
+use crate::sync::{handle_message, log_quorum, push_deployments, send_hellos};
 use crate::worker_updates::publish_updates;
 
-/// Silence after which a voter that has just started stands for election: where all ended at once,
-/// none leads.
+/// Silence after which a voter that has just started stands for election. It is short because after
+/// a stop of all controllers at once there is no leader to wait for.
 const FIRST_ELECTION_TIME: Duration = Duration::from_millis(130);
-/// Entries after which a snapshot replaces them; whole configurations are large.
+/// Log entries after which a snapshot replaces them. It is low because each entry holds a full
+/// configuration.
 const SNAPSHOT_ENTRIES: usize = 16;
-/// Time for a handed-over leadership to be taken up before the process ends.
+/// Time for another voter to take over leadership before the process exits.
 const HAND_OVER_PAUSE: Duration = Duration::from_millis(400);
 
 /// Why a controller could not start.
 #[derive(Debug, Error)]
 pub enum StartControllerError {
-    /// A setting that a controller needs is not there.
+    /// A setting that a controller needs is missing.
     #[error("the setting {0} is missing")]
     Missing(&'static str),
     /// The address for workers and operators cannot be listened on.
@@ -73,24 +74,24 @@
         let data = settings.data.clone().ok_or(StartControllerError::Missing("data"))?;
         let listener = bind_http(&control)
             .map_err(|source| StartControllerError::Listen { address: control, source })?;
-        let (news, news_receiver) = flume::unbounded();
-        let core = Arc::new(build_core(settings, protocol, Path::new(&data), news)?);
+        let (events, event_receiver) = flume::unbounded();
+        let core = Arc::new(build_core(settings, protocol, Path::new(&data), events)?);
         start_links(&core)?;
         let (stop, stopped) = watch::channel(false);
         let handler = Arc::new(ControlHandler(Arc::clone(&core)));
         tokio::spawn(serve_http(listener, stopped, handler));
-        tokio::spawn(greet_controllers(Arc::clone(&core)));
+        tokio::spawn(send_hellos(Arc::clone(&core)));
         tokio::spawn(publish_updates(Arc::clone(&core)));
         tokio::spawn(push_deployments(Arc::clone(&core)));
         tokio::spawn(log_quorum(Arc::clone(&core)));
-        tokio::spawn(run_leader(Arc::clone(&core), news_receiver));
-        let shown = Arc::clone(&core);
-        serve_metrics(core.settings.metrics.as_deref(), move || shown.metrics_text());
+        tokio::spawn(run_leader(Arc::clone(&core), event_receiver));
+        let metrics_core = Arc::clone(&core);
+        serve_metrics(core.settings.metrics.as_deref(), move || metrics_core.metrics_text());
         log::info!("event=started role=controller name={}", core.settings.name);
         Ok(Self { core, stop })
     }
 
-    /// Stops as planned: hands leadership over and returns.
+    /// Shuts down gracefully: hands leadership over, stops the listener and the log, and returns.
     pub async fn stop(&self) {
         log::info!("event=stopping");
         self.core.log.hand_over();
@@ -105,24 +106,24 @@
     settings: MemberSettings,
     protocol: Arc<dyn ControlProtocol>,
     data: &Path,
-    news: flume::Sender<WorkerEvent>,
+    events: flume::Sender<WorkerEvent>,
 ) -> Result<ControllerCore, StartControllerError> {
     let links: Arc<OnceLock<MemberLinks>> = Arc::default();
     let applied = Arc::new(Notify::new());
     let log = start_log(&settings, data, &links, &applied)?;
     let now = Instant::now();
-    let own = hollowbarrow_member::member_id(&settings.ip, settings.mesh_port);
-    let fleet = Mutex::new(FleetState::new(&own, &settings.zone));
+    let local = hollowbarrow_member::member_id(&settings.ip, settings.mesh_port);
+    let fleet = Mutex::new(FleetState::new(&local, &settings.zone));
     Ok(ControllerCore {
         protocol,
         log,
         changed: Notify::new(),
-        news_due: Notify::new(),
+        updates_due: Notify::new(),
         metrics: ControllerMetrics::new(),
         applied,
-        news,
+        events,
         started: now,
-        wake: WakeWatch::new(),
+        suspension: WakeWatch::new(),
         links,
         fleet,
         pending: Mutex::default(),
@@ -130,7 +131,7 @@
         parsed: Mutex::new(None),
         encoded: Mutex::new(None),
         commits: Mutex::default(),
-        basis: Mutex::default(),
+        certainty: Mutex::default(),
         settings,
     })
 }
@@ -156,7 +157,8 @@
                 AppliedChange::Entry(entry) => {
                     matches!(entry.payload, EntryPayload::Deployment(_))
                 }
-                // It brings a controller that was away the newest configuration.
+                // A snapshot may bring a controller that was partitioned or stopped a newer
+                // configuration.
                 AppliedChange::Snapshot(_) => true,
             };
             if may_be_newer {
@@ -176,7 +178,7 @@
         if let Some(core) = handler_core.upgrade()
             && core.links.get().is_some()
         {
-            take_message(&core, from, message);
+            handle_message(&core, from, message);
         }
     })?;
     let _ = core.links.set(links);
--- a/crates/controller/src/core.rs
+++ b/crates/controller/src/core.rs
@@ -1,4 +1,5 @@
-//! What every part of a controller uses. It knows none of them.
+//! Shared state of a controller's parts. This module depends on none of them except for the types of
+//! their state.
 
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
 use std::time::Duration;
@@ -27,16 +28,16 @@
     pub(crate) settings: MemberSettings,
     pub(crate) protocol: Arc<dyn ControlProtocol>,
     pub(crate) log: LogDriver<DeploymentState>,
-    /// Told when something that the leader acts on has changed.
+    /// Notified when something that the leader acts on has changed.
     pub(crate) changed: Notify,
-    /// Told when a configuration was committed.
+    /// Notified when a configuration was committed.
     pub(crate) applied: Arc<Notify>,
-    /// Told when there is news of workers to send out.
-    pub(crate) news_due: Notify,
-    pub(crate) news: flume::Sender<WorkerEvent>,
+    /// Notified when there are worker updates to send out.
+    pub(crate) updates_due: Notify,
+    pub(crate) events: flume::Sender<WorkerEvent>,
     pub(crate) metrics: ControllerMetrics,
     pub(crate) started: Instant,
-    pub(crate) wake: WakeWatch,
+    pub(crate) suspension: WakeWatch,
     pub(crate) links: Arc<OnceLock<MemberLinks>>,
     pub(crate) fleet: Mutex<FleetState>,
     pub(crate) pending: Mutex<PendingReports>,
@@ -45,13 +46,13 @@
     pub(crate) parsed: Mutex<Option<Arc<Deployment>>>,
     pub(crate) encoded: Mutex<Option<EncodedDeployment>>,
     pub(crate) commits: Mutex<VersionTimes>,
-    /// What last entitled this controller to tell configurations, to log when that changes.
-    pub(crate) basis: Mutex<ConfigCertainty>,
+    /// Last logged certainty about the configuration, to log when it changes.
+    pub(crate) certainty: Mutex<ConfigCertainty>,
 }
 
 impl ControllerCore {
     pub(crate) fn links(&self) -> &MemberLinks {
-        self.links.get().expect("the links are set before anything runs")
+        self.links.get().expect("the links are set before any task or message handler runs")
     }
 
     pub(crate) fn fleet(&self) -> MutexGuard<'_, FleetState> {
@@ -70,32 +71,32 @@
         Duration::from_millis(self.settings.heartbeat_ms.into())
     }
 
-    /// The page of metrics.
+    /// Returns the metrics page in the text format.
     pub(crate) fn metrics_text(&self) -> String {
         let view = self.log.view();
         let now = Instant::now();
         let fleet = self.fleet();
         let lags = fleet.gateway_lags(&self.commits(), now);
         self.metrics.to_text(&ControllerLevels {
-            leads: self.is_sure_to_lead(&view, now),
+            leads: self.is_confirmed_leader(&view, now),
             term: *view.term,
             voters: view.voters.len() as u64,
             lost_disk: view.lost_disk,
             version: self.log.read(DeploymentState::version),
             workers: fleet.count_workers(),
-            gateways: fleet.count_homed().into(),
+            gateways: fleet.count_primary_gateways().into(),
             lags,
             dropped: self.links().traffic().dropped(),
         })
     }
 
     /// Whether a majority has confirmed within the election time that this daemon leads.
-    pub(crate) fn is_sure_to_lead(&self, view: &LogView, now: Instant) -> bool {
+    pub(crate) fn is_confirmed_leader(&self, view: &LogView, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < ELECTION_TIME;
-        // While the machine was suspended another leader may have been elected, and the time since
-        // the confirmation was not counted.
-        let awake = |at: Instant| !self.wake.has_slept_since(at, now);
-        view.current && view.confirmed.is_some_and(|at| recent(at) && awake(at))
+        // While the machine was suspended another leader may have been elected, and the clock did
+        // not count that time, so a confirmation from before a suspension is not recent.
+        let not_suspended = |at: Instant| !self.suspension.has_slept_since(at, now);
+        view.current && view.confirmed.is_some_and(|at| recent(at) && not_suspended(at))
     }
 
     /// The newest committed configuration.
@@ -103,11 +104,11 @@
         self.log.read(|state| state.newest().cloned())
     }
 
-    /// The newest committed configuration as it goes to gateways.
+    /// The newest committed configuration, encoded for gateways.
     pub(crate) fn encoded_deployment(&self) -> Option<EncodedDeployment> {
         let version = self.log.read(DeploymentState::version);
         let mut encoded = self.encoded.lock().expect("no holder of the lock panics");
-        if encoded.as_ref().is_none_or(|held| held.version() != version) {
+        if encoded.as_ref().is_none_or(|cached| cached.version() != version) {
             *encoded = self.newest_document().map(EncodedDeployment::new);
         }
         encoded.clone()
@@ -123,40 +124,42 @@
     pub(crate) fn deployment(&self) -> Option<Arc<Deployment>> {
         let version = self.log.read(DeploymentState::version);
         let mut parsed = self.parsed.lock().expect("no holder of the lock panics");
-        if parsed.as_ref().is_none_or(|held| held.version != version) {
+        if parsed.as_ref().is_none_or(|cached| cached.version != version) {
             let document = self.newest_document()?;
             *parsed = self.protocol.read_deployment(&document.text).ok().map(Arc::new);
         }
         parsed.clone()
     }
 
-    /// What entitles this controller to tell gateways what is committed here.
-    pub(crate) fn tell_basis(&self, now: Instant) -> ConfigCertainty {
+    /// Returns how certain it is that this controller has the newest committed configuration, and
+    /// logs a change.
+    pub(crate) fn config_certainty(&self, now: Instant) -> ConfigCertainty {
         let view = self.log.view();
+        let resumed = self.suspension.woke(now);
         let facts = CertaintyFacts {
-            since: self.wake.woke(now).map_or(self.started, |woke| woke.max(self.started)),
+            since: resumed.map_or(self.started, |resumed| resumed.max(self.started)),
             confirmed: view.confirmed,
             complete: view.complete,
         };
-        let basis = facts.basis(now);
-        self.note_basis(basis);
-        basis
+        let certainty = facts.certainty(now);
+        self.log_certainty_change(certainty);
+        certainty
     }
 
-    fn note_basis(&self, basis: ConfigCertainty) {
-        let mut noted = self.basis.lock().expect("no holder of the lock panics");
-        if std::mem::replace(&mut *noted, basis) != basis {
+    fn log_certainty_change(&self, certainty: ConfigCertainty) {
+        let mut logged = self.certainty.lock().expect("no holder of the lock panics");
+        if std::mem::replace(&mut *logged, certainty) != certainty {
             let version = self.log.read(DeploymentState::version);
-            log::info!("event=telling basis={basis:?} version={version}");
+            log::info!("event=telling basis={certainty:?} version={version}");
         }
     }
 
-    /// When configurations were committed here.
+    /// Times at which configurations were committed here.
     pub(crate) fn commits(&self) -> MutexGuard<'_, VersionTimes> {
         self.commits.lock().expect("no holder of the lock panics")
     }
 
-    /// Adds a controller that was heard of: it follows the log, and may vote one day.
+    /// Connects to a newly discovered controller, which follows the log and may become a voter.
     pub(crate) fn learn_controller(&self, id: &DaemonId) {
         if id == self.links().id() {
             return;
@@ -167,8 +170,8 @@
         }
     }
 
-    /// Sends a caller to the leader, if it is known.
-    pub(crate) fn elsewhere(&self, path: &str) -> ControlAnswer {
+    /// Redirects a caller to the leader, if it is known.
+    pub(crate) fn redirect_to_leader(&self, path: &str) -> ControlAnswer {
         let leader = self.log.view().leader.filter(|leader| leader != self.links().id());
         let ip = leader.as_ref().and_then(|leader| leader.split(':').next());
         let control = self.settings.control.as_deref().unwrap_or_default();
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of workers, gateways and other controllers.
+//! State that a controller keeps of workers, gateways and other controllers, in memory only.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,42 +19,44 @@
 use crate::table_hashes::TableHashHistory;
 use crate::tables::TableRequests;
 
-/// Heartbeats without which a worker counts as silent, so that what another writer told under its
-/// name is not held against it any longer.
+/// Heartbeats without a report after which a worker counts as silent. Records that another writer
+/// sent under its name are then no longer given precedence over its own reports.
 const SILENT_BEATS: u32 = 3;
-/// Silence after which a daemon is not written to any more.
-const DAEMON_SILENCE: Duration = Duration::from_secs(5);
-/// Silence after which what a controller told of its gateways counts no more.
-const LOADS_SILENCE: Duration = Duration::from_millis(1500);
-/// Hellos with another digest after which a daemon of the same zone gets the whole table.
-const NEAR_MISMATCHES: u32 = 2;
-/// The same for a controller, which may have to lead with what it knows.
+/// Silence after which nothing is sent to a gateway any more.
+const GATEWAY_SILENCE: Duration = Duration::from_secs(5);
+/// Age after which the loads and gateway counts that a controller reported are ignored.
+const LOADS_VALIDITY: Duration = Duration::from_millis(1500);
+/// Consecutive hellos with a differing table hash after which a gateway of the same zone gets the
+/// full table.
+const SAME_ZONE_MISMATCHES: u32 = 2;
+/// The same for a controller, which may become leader and then acts on its table.
 const CONTROLLER_MISMATCHES: u32 = 2;
-/// The same for a daemon of another zone, whose own controller comes first.
-const FAR_MISMATCHES: u32 = 6;
+/// The same for a gateway of another zone, to give the controllers of that zone time to send the
+/// table first.
+const OTHER_ZONE_MISMATCHES: u32 = 6;
 
-/// Time for which a gateway lacks a configuration before that is logged: longer than any delivery
-/// without a fault takes.
+/// Time for which a gateway lacks a configuration before that is logged. Deliveries without a fault
+/// take less.
 const LOGGED_LAG: Duration = Duration::from_millis(1000);
 
-/// A gateway that was heard of.
+/// A gateway that has sent a hello.
 #[derive(Clone, Debug)]
-struct HeardGateway {
+struct KnownGateway {
     zone: ZoneId,
-    home: Option<DaemonId>,
-    heard: Instant,
+    primary: Option<DaemonId>,
+    last_received: Instant,
     delivery: DeliveryState,
-    /// Whether it was logged as behind.
+    /// Whether the last log line on its lag reported it as behind.
     logged_behind: bool,
     mismatches: u32,
     loads: Vec<WorkerLoad>,
 }
 
-/// A controller that was heard of.
+/// A controller that has sent a hello.
 #[derive(Clone, Debug)]
-struct HeardController {
+struct KnownController {
     zone: ZoneId,
-    heard: Instant,
+    last_received: Instant,
     mismatches: u32,
     lost_disk: bool,
     gateways: u32,
@@ -62,31 +64,31 @@
     loads_at: Instant,
 }
 
-/// Soft state of a controller.
+/// Soft state of a controller; it is rebuilt from reports and hellos after a restart.
 #[derive(Debug)]
 pub(crate) struct FleetState {
-    own: DaemonId,
+    local: DaemonId,
     zone: ZoneId,
     table: WorkerTable,
-    digests: TableHashHistory,
-    tables: TableRequests,
-    gateways: BTreeMap<DaemonId, HeardGateway>,
-    controllers: BTreeMap<DaemonId, HeardController>,
+    hashes: TableHashHistory,
+    table_requests: TableRequests,
+    gateways: BTreeMap<DaemonId, KnownGateway>,
+    controllers: BTreeMap<DaemonId, KnownController>,
     beats: BTreeMap<WorkerId, u64>,
-    /// Requests that end workers, as all daemons told.
+    /// Requests that crash workers, from the records of all daemons.
     crashes: CrashLedger,
     released: ReleasedRequests,
     served: bool,
 }
 
 impl FleetState {
-    pub(crate) fn new(own: &DaemonId, zone: &ZoneId) -> Self {
+    pub(crate) fn new(local: &DaemonId, zone: &ZoneId) -> Self {
         Self {
-            own: own.clone(),
+            local: local.clone(),
             zone: zone.clone(),
             table: WorkerTable::new(),
-            digests: TableHashHistory::default(),
-            tables: TableRequests::default(),
+            hashes: TableHashHistory::default(),
+            table_requests: TableRequests::default(),
             gateways: BTreeMap::new(),
             controllers: BTreeMap::new(),
             beats: BTreeMap::new(),
@@ -100,7 +102,7 @@
         &self.table
     }
 
-    /// Workers by what they last said.
+    /// Counts workers by their last reported state.
     pub(crate) fn count_workers(&self) -> WorkerCounts {
         let mut counts = WorkerCounts::default();
         for entry in self.table.iter() {
@@ -114,10 +116,11 @@
         counts
     }
 
-    /// Takes a worker's own report in; one that only renews is told to other controllers later.
+    /// Records a worker's own report. A mere renewal goes to other controllers as a beat in the next
+    /// hello.
     ///
-    /// `heartbeat` is the time between two of its calls.
-    pub(crate) fn take_report(
+    /// `heartbeat` is the time between two registrations of the worker.
+    pub(crate) fn record_report(
         &mut self,
         report: WorkerReport,
         heartbeat: Duration,
@@ -131,7 +134,7 @@
         outcome
     }
 
-    /// Takes reports in that another controller passed on; returns those that were news.
+    /// Merges reports relayed by another controller; returns those that changed the table.
     pub(crate) fn merge(&mut self, reports: Vec<WorkerReport>, now: Instant) -> Vec<WorkerReport> {
         let mut changed = reports;
         changed.retain(|report| self.table.merge(report.clone(), now) == MergeOutcome::Changed);
@@ -145,70 +148,79 @@
     pub(crate) fn expire(&mut self, silence: Duration, now: Instant) {
         self.table.expire(silence, now);
         self.crashes.tidy(now);
-        self.gateways.retain(|_, gateway| now.duration_since(gateway.heard) < DAEMON_SILENCE);
+        self.gateways
+            .retain(|_, gateway| now.duration_since(gateway.last_received) < GATEWAY_SILENCE);
     }
 
-    /// Requests that end workers, as all daemons told.
+    /// Requests that crash workers, from the records of all daemons.
     pub(crate) fn crashes(&self) -> &CrashLedger {
         &self.crashes
     }
 
-    /// Takes an operator's word that a request does no harm.
+    /// Releases a request from quarantine because an operator declares it harmless.
     pub(crate) fn release(&mut self, request: RequestDigest, now: Instant) {
         self.crashes.contradict(request, now);
-        self.released.note(request, now);
+        self.released.record(request, now);
     }
 
-    /// What gateways are told of requests that operators have let go.
+    /// Released requests to include in the next view for gateways.
     pub(crate) fn released(&mut self, now: Instant) -> Vec<HeldRequest> {
-        self.released.told(now)
+        self.released.to_publish(now)
     }
 
-    /// Records of such requests to pass on now.
+    /// Records of crashes to send to the leader now.
     pub(crate) fn crashes_due(&mut self, now: Instant) -> Vec<CrashRecord> {
         self.crashes.due(now)
     }
 
-    /// Notes that what is new in the table goes out.
-    pub(crate) fn note_told(&mut self, now: Instant) {
-        self.digests.note(self.table.digest(), now);
+    /// Records that the table's changes are sent out now.
+    pub(crate) fn record_published(&mut self, now: Instant) {
+        self.hashes.record(self.table.digest(), now);
     }
 
-    /// Daemons to send the whole table to now.
+    /// Daemons to send the full table to now.
     pub(crate) fn tables_due(&mut self, now: Instant) -> Vec<DaemonId> {
-        self.tables.take(now)
+        self.table_requests.take_due(now)
     }
 
-    /// Takes a gateway's hello; one that lacks something will get the whole table.
-    pub(crate) fn take_gateway(&mut self, from: &DaemonId, hello: GatewayHello, now: Instant) {
+    /// Records a gateway's hello; queues the full table for a gateway whose table differs.
+    pub(crate) fn record_gateway(&mut self, from: &DaemonId, hello: GatewayHello, now: Instant) {
         self.served |= !hello.loads.is_empty();
         self.crashes.merge(&hello.crashes, now);
-        let near = hello.zone == self.zone;
-        let own = self.table.digest();
-        let covered = self.digests.covers(hello.workers, own, now);
+        let same_zone = hello.zone == self.zone;
+        let table_hash = self.table.digest();
+        let covered = self.hashes.covers(hello.workers, table_hash, now);
         let former = self.gateways.get(from).map_or(0, |gateway| gateway.mismatches);
         let mismatches = if covered { 0 } else { former + 1 };
-        let most = match (near, hello.workers) {
+        let threshold = match (same_zone, hello.workers) {
             (true, 0) => 1,
-            (true, _) => NEAR_MISMATCHES,
-            (false, _) => FAR_MISMATCHES,
+            (true, _) => SAME_ZONE_MISMATCHES,
+            (false, _) => OTHER_ZONE_MISMATCHES,
         };
-        if mismatches >= most {
-            self.tables.ask(from);
+        if mismatches >= threshold {
+            self.table_requests.request(from);
         }
-        let held = self.gateways.get(from);
-        let logged_behind = held.is_some_and(|gateway| gateway.logged_behind);
+        let known = self.gateways.get(from);
+        let logged_behind = known.is_some_and(|gateway| gateway.logged_behind);
         let mut delivery =
-            held.map_or(DeliveryState::new(hello.deployment, now), |gateway| gateway.delivery);
+            known.map_or(DeliveryState::new(hello.deployment, now), |gateway| gateway.delivery);
         delivery.record_reported_version(hello.deployment, now);
-        let GatewayHello { zone, home, loads, .. } = hello;
-        let mismatches = mismatches % most;
-        let gateway =
-            HeardGateway { zone, home, heard: now, delivery, logged_behind, mismatches, loads };
+        let GatewayHello { zone, home: primary, loads, .. } = hello;
+        let mismatches = mismatches % threshold;
+        let gateway = KnownGateway {
+            zone,
+            primary,
+            last_received: now,
+            delivery,
+            logged_behind,
+            mismatches,
+            loads,
+        };
         self.gateways.insert(from.clone(), gateway);
     }
 
-    /// Logs once when a gateway stays behind, and once when it has caught up.
+    /// Logs once when a gateway falls behind for longer than [`LOGGED_LAG`], and once when it has
+    /// caught up.
     pub(crate) fn log_lag(&mut self, from: &DaemonId, commits: &VersionTimes, now: Instant) {
         let Some(gateway) = self.gateways.get_mut(from) else { return };
         let lag = gateway.delivery.lag(commits, now);
@@ -218,17 +230,17 @@
         }
         gateway.logged_behind = behind;
         let event = if behind { "gateway_behind" } else { "gateway_caught_up" };
-        let home = gateway.home.as_ref().map_or("none", |home| home.as_str());
+        let primary = gateway.primary.as_ref().map_or("none", |primary| primary.as_str());
         log::info!(
-            "event={event} gateway={} zone={} home={home} version={} lag_ms={}",
+            "event={event} gateway={} zone={} home={primary} version={} lag_ms={}",
             **from,
             *gateway.zone,
-            gateway.delivery.held(),
+            gateway.delivery.reported_version(),
             lag.as_millis()
         );
     }
 
-    /// How many gateways lack a configuration, and for how long.
+    /// Counts the gateways that lack a configuration, and returns the longest lag.
     pub(crate) fn gateway_lags(&self, commits: &VersionTimes, now: Instant) -> GatewayLags {
         let lags = self.gateways.values().map(|gateway| gateway.delivery.lag(commits, now));
         let lags: Vec<Duration> = lags.filter(|lag| !lag.is_zero()).collect();
@@ -236,8 +248,8 @@
         GatewayLags { behind: lags.len() as u64, longest }
     }
 
-    /// Takes another controller's hello; one that lacks something will get the whole table.
-    pub(crate) fn take_controller(
+    /// Records another controller's hello; queues the full table for one whose table differs.
+    pub(crate) fn record_controller(
         &mut self,
         from: &DaemonId,
         hello: ControllerHello,
@@ -248,23 +260,23 @@
         }
         self.served |= hello.served;
         self.crashes.merge(&hello.crashes, now);
-        let own = self.table.digest();
-        let covered = self.digests.covers(hello.workers, own, now);
+        let table_hash = self.table.digest();
+        let covered = self.hashes.covers(hello.workers, table_hash, now);
         let former = self.controllers.get(from);
-        let mismatches = if covered { 0 } else { former.map_or(0, |held| held.mismatches) + 1 };
-        let most = if hello.workers == 0 { 1 } else { CONTROLLER_MISMATCHES };
-        if mismatches >= most {
-            self.tables.ask(from);
+        let mismatches = if covered { 0 } else { former.map_or(0, |known| known.mismatches) + 1 };
+        let threshold = if hello.workers == 0 { 1 } else { CONTROLLER_MISMATCHES };
+        if mismatches >= threshold {
+            self.table_requests.request(from);
         }
         let (loads, loads_at) = match (hello.loads, former) {
             (Some(loads), _) => (loads, now),
-            (None, Some(held)) => (held.loads.clone(), held.loads_at),
+            (None, Some(known)) => (known.loads.clone(), known.loads_at),
             (None, None) => (Vec::new(), now),
         };
-        let controller = HeardController {
+        let controller = KnownController {
             zone: hello.zone,
-            heard: now,
-            mismatches: mismatches % most,
+            last_received: now,
+            mismatches: mismatches % threshold,
             lost_disk: hello.lost_disk,
             gateways: hello.gateways,
             loads,
@@ -273,7 +285,7 @@
         self.controllers.insert(from.clone(), controller);
     }
 
-    /// Renewed registrations since the last call.
+    /// Takes the registrations renewed since the last call.
     pub(crate) fn take_beats(&mut self) -> Vec<WorkerBeat> {
         let beats = std::mem::take(&mut self.beats);
         let beat = |(id, seq): (WorkerId, u64)| {
@@ -284,125 +296,133 @@
         beats.into_iter().filter_map(beat).collect()
     }
 
-    /// Gateways that this controller tells of a configuration as soon as it is committed; notes
-    /// that it goes out to them.
+    /// Returns the gateways that this controller sends a configuration to as soon as it is
+    /// committed, and records that it is sent to them.
     pub(crate) fn begin_push(&mut self, version: u64, now: Instant) -> Vec<DaemonId> {
-        let prompt = self.gateways_where(|gateway| self.is_prompt_for(gateway));
-        for id in &prompt {
+        let recipients = self.gateways_matching(|gateway| self.delivers_immediately(gateway));
+        for id in &recipients {
             if let Some(gateway) = self.gateways.get_mut(id) {
                 gateway.delivery.record_sent(version, now);
             }
         }
-        prompt
+        recipients
     }
 
-    /// Whether a gateway is to get the newest configuration now; notes that it goes out if so.
+    /// Returns whether a gateway is to get the newest configuration now, and if so records that it
+    /// is sent.
     pub(crate) fn begin_delivery(
         &mut self,
         to: &DaemonId,
         offer: DeliveryOffer,
-        basis: ConfigCertainty,
+        certainty: ConfigCertainty,
         commits: &VersionTimes,
         now: Instant,
     ) -> bool {
         let Some(gateway) = self.gateways.get(to) else { return false };
-        let place = match (basis, self.is_prompt_for(gateway)) {
+        let role = match (certainty, self.delivers_immediately(gateway)) {
             (ConfigCertainty::Nothing, _) => return false,
-            (ConfigCertainty::Unconfirmed, _) => DeliveryRole::Unsure,
-            (ConfigCertainty::Complete, true) => DeliveryRole::Near,
-            (ConfigCertainty::Complete, false) => DeliveryRole::Far,
+            (ConfigCertainty::Unconfirmed, _) => DeliveryRole::Uncertain,
+            (ConfigCertainty::Complete, true) => DeliveryRole::Primary,
+            (ConfigCertainty::Complete, false) => DeliveryRole::Fallback,
         };
         let Some(gateway) = self.gateways.get_mut(to) else { return false };
-        let due = gateway.delivery.is_due(offer, place, commits, now);
+        let due = gateway.delivery.is_due(offer, role, commits, now);
         if due {
             gateway.delivery.record_sent(offer.version, now);
         }
         due
     }
 
-    /// Notes that a configuration could not be sent to a gateway, so that its next report is
-    /// answered with it.
+    /// Records that a configuration could not be sent to a gateway, so that it is sent again in
+    /// response to the gateway's next hello.
     pub(crate) fn record_dropped(&mut self, to: &DaemonId) {
         if let Some(gateway) = self.gateways.get_mut(to) {
             gateway.delivery.record_dropped();
         }
     }
 
-    /// Whether this controller tells a gateway of a configuration without waiting for others: one
-    /// copy goes at once, however many controllers the zone has.
-    fn is_prompt_for(&self, gateway: &HeardGateway) -> bool {
-        match &gateway.home {
-            Some(home) => *home == self.own || (gateway.zone == self.zone && self.is_far(home)),
+    /// Whether this controller sends configurations to a gateway without waiting for others: it is
+    /// the gateway's primary controller, or in its zone while the primary is not or there is none.
+    /// With a primary in the zone one copy is sent at once, however many controllers the zone has.
+    fn delivers_immediately(&self, gateway: &KnownGateway) -> bool {
+        match &gateway.primary {
+            Some(primary) => {
+                *primary == self.local
+                    || (gateway.zone == self.zone && self.is_in_other_zone(primary))
+            }
             None => gateway.zone == self.zone,
         }
     }
 
     /// Whether a controller is known to be in another zone.
-    fn is_far(&self, id: &DaemonId) -> bool {
-        self.controllers.get(id).is_some_and(|held| held.zone != self.zone)
+    fn is_in_other_zone(&self, id: &DaemonId) -> bool {
+        self.controllers.get(id).is_some_and(|known| known.zone != self.zone)
     }
 
-    /// Gateways that hear of workers from this controller: those whose home it is, and those that
-    /// look for one.
+    /// Gateways that get worker updates from this controller: those whose primary controller it is,
+    /// and those without a primary controller.
     pub(crate) fn attached_gateways(&self) -> Vec<DaemonId> {
-        self.gateways_where(|gateway| self.serves(gateway))
+        self.gateways_matching(|gateway| self.is_attached(gateway))
     }
 
-    /// Gateways that hear the leader's views from this controller: the attached ones, and those
-    /// of this zone whose home is in another one, so that they may come here.
+    /// Gateways that get the leader's views from this controller: the attached ones, and those of
+    /// this zone whose primary controller is in another zone, so that they can switch to this one.
     pub(crate) fn view_gateways(&self) -> Vec<DaemonId> {
-        self.gateways_where(|gateway| {
-            let homed_far = gateway.home.as_ref().is_some_and(|home| self.is_far(home));
-            self.serves(gateway) || (gateway.zone == self.zone && homed_far)
+        self.gateways_matching(|gateway| {
+            let primary_elsewhere =
+                gateway.primary.as_ref().is_some_and(|id| self.is_in_other_zone(id));
+            self.is_attached(gateway) || (gateway.zone == self.zone && primary_elsewhere)
         })
     }
 
-    fn serves(&self, gateway: &HeardGateway) -> bool {
-        gateway.home.as_ref().is_none_or(|home| *home == self.own)
+    fn is_attached(&self, gateway: &KnownGateway) -> bool {
+        gateway.primary.as_ref().is_none_or(|primary| *primary == self.local)
     }
 
-    fn gateways_where(&self, wanted: impl Fn(&HeardGateway) -> bool) -> Vec<DaemonId> {
-        let gateways = self.gateways.iter().filter(|(_, gateway)| wanted(gateway));
+    fn gateways_matching(&self, matches: impl Fn(&KnownGateway) -> bool) -> Vec<DaemonId> {
+        let gateways = self.gateways.iter().filter(|(_, gateway)| matches(gateway));
         gateways.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Controllers that were heard of within a time.
+    /// Controllers whose last hello is more recent than `within`.
     pub(crate) fn controllers(&self, within: Duration, now: Instant) -> BTreeSet<DaemonId> {
-        let heard = |daemon: &HeardController| now.duration_since(daemon.heard) < within;
-        let controllers = self.controllers.iter().filter(|(_, daemon)| heard(daemon));
+        let recent = |daemon: &KnownController| now.duration_since(daemon.last_received) < within;
+        let controllers = self.controllers.iter().filter(|(_, daemon)| recent(daemon));
         controllers.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Controllers that were ever heard of, and where they are; this one is among them.
-    pub(crate) fn places(&self) -> Vec<ControllerPlace> {
-        let place =
+    /// Zones of all controllers that ever sent a hello, and of this one.
+    pub(crate) fn locations(&self) -> Vec<ControllerPlace> {
+        let location =
             |id: &DaemonId, zone: &ZoneId| ControllerPlace { id: id.clone(), zone: zone.clone() };
-        let others = self.controllers.iter().map(|(id, held)| place(id, &held.zone));
-        others.chain([place(&self.own, &self.zone)]).collect()
+        let others = self.controllers.iter().map(|(id, known)| location(id, &known.zone));
+        others.chain([location(&self.local, &self.zone)]).collect()
     }
 
-    /// Controllers that said that their disk came back empty.
+    /// Controllers that reported that their disk came back empty.
     pub(crate) fn lost_disks(&self) -> Vec<DaemonId> {
         let lost = self.controllers.iter().filter(|(_, daemon)| daemon.lost_disk);
         lost.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether any gateway has ever told of a request.
+    /// Whether a gateway has reported a request since this process started.
     pub(crate) fn has_served(&self) -> bool {
         self.served
     }
 
-    /// Gateways whose home is this controller.
-    pub(crate) fn count_homed(&self) -> u32 {
-        let homed = |gateway: &HeardGateway| gateway.home.as_ref() == Some(&self.own);
-        u32::try_from(self.gateways_where(homed).len()).unwrap_or(u32::MAX)
+    /// Counts the gateways whose primary controller is this one.
+    pub(crate) fn count_primary_gateways(&self) -> u32 {
+        let primary_here = |gateway: &KnownGateway| gateway.primary.as_ref() == Some(&self.local);
+        u32::try_from(self.gateways_matching(primary_here).len()).unwrap_or(u32::MAX)
     }
 
-    /// What the gateways whose home is this controller have under way, by worker.
-    pub(crate) fn homed_loads(&self, now: Instant) -> Vec<WorkerLoad> {
-        let homed = |gateway: &&HeardGateway| gateway.home.as_ref() == Some(&self.own);
-        let gateways = self.gateways.values().filter(homed);
-        let uses = sum_uses(gateways.map(|gateway| (gateway.loads.as_slice(), gateway.heard)));
+    /// Sums the requests in flight at each worker over the gateways whose primary controller is this
+    /// one.
+    pub(crate) fn primary_gateway_loads(&self, now: Instant) -> Vec<WorkerLoad> {
+        let primary_here = |gateway: &&KnownGateway| gateway.primary.as_ref() == Some(&self.local);
+        let gateways = self.gateways.values().filter(primary_here);
+        let uses =
+            sum_uses(gateways.map(|gateway| (gateway.loads.as_slice(), gateway.last_received)));
         let elapsed = |at: Instant| now.saturating_duration_since(at).as_millis() as u32;
         let load = |(worker, sum): (WorkerId, WorkerUse)| WorkerLoad {
             worker,
@@ -413,34 +433,36 @@
         uses.into_iter().map(load).collect()
     }
 
-    /// Gateways of the whole system, as far as controllers told.
+    /// Counts the gateways of the whole system: those attached here and those that other controllers
+    /// reported recently.
     pub(crate) fn count_gateways(&self, now: Instant) -> u32 {
-        let recent = |held: &&HeardController| self.is_recent(held.heard, now);
-        let others: u32 = self.controllers.values().filter(recent).map(|held| held.gateways).sum();
+        let recent = |controller: &&KnownController| self.is_recent(controller.last_received, now);
+        let others: u32 =
+            self.controllers.values().filter(recent).map(|controller| controller.gateways).sum();
         others + u32::try_from(self.attached_gateways().len()).unwrap_or(u32::MAX)
     }
 
-    /// Requests under way at each worker, over all gateways.
+    /// Sums the requests in flight at each worker over all gateways.
     pub(crate) fn uses(&self, now: Instant) -> BTreeMap<WorkerId, WorkerUse> {
-        let gateways = self.gateways.values().filter(|gateway| self.serves(gateway));
+        let gateways = self.gateways.values().filter(|gateway| self.is_attached(gateway));
         let controllers =
-            self.controllers.values().filter(|held| self.is_recent(held.loads_at, now));
-        let told = gateways.map(|gateway| (gateway.loads.as_slice(), gateway.heard));
-        let passed_on = controllers.map(|held| (held.loads.as_slice(), held.loads_at));
-        sum_uses(told.chain(passed_on))
+            self.controllers.values().filter(|controller| self.is_recent(controller.loads_at, now));
+        let attached = gateways.map(|gateway| (gateway.loads.as_slice(), gateway.last_received));
+        let relayed = controllers.map(|known| (known.loads.as_slice(), known.loads_at));
+        sum_uses(attached.chain(relayed))
     }
 
     fn is_recent(&self, at: Instant, now: Instant) -> bool {
-        now.saturating_duration_since(at) < LOADS_SILENCE
+        now.saturating_duration_since(at) < LOADS_VALIDITY
     }
 }
 
-/// Adds up loads that were told at some time each.
+/// Sums loads, each list with the time at which it was received.
 fn sum_uses<'a>(
-    told: impl Iterator<Item = (&'a [WorkerLoad], Instant)>,
+    reported: impl Iterator<Item = (&'a [WorkerLoad], Instant)>,
 ) -> BTreeMap<WorkerId, WorkerUse> {
     let mut uses: BTreeMap<WorkerId, WorkerUse> = BTreeMap::new();
-    for (loads, at) in told {
+    for (loads, at) in reported {
         for load in loads {
             let sum = uses.entry(load.worker.clone()).or_default();
             sum.active += load.active;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,18 +1,18 @@
-//! Keeps the configuration, the workers and the replicas.
+//! Manages the configuration, the workers and the replicas.
 //!
 //! A few controllers with disks hold the configuration in a replicated log.
-//! Each takes registrations of workers and tells gateways and the other
-//! controllers. The leader of the log alone plans replicas and orders workers,
-//! while it is sure that it leads. How workers and operators spell their
-//! messages comes from a [`ControlProtocol`].
+//! Each accepts registrations of workers and publishes them to gateways and the
+//! other controllers. Only the leader of the log plans replicas and orders
+//! workers, and only while a majority confirms that it leads. A
+//! [`ControlProtocol`] defines the message format of workers and operators.
 //!
 //! Invariants:
 //!
 //! - A configuration is acknowledged only after a majority of disks holds it.
-//! - An order is given only while a majority has confirmed the leader within
+//! - An order is sent only while a majority has confirmed the leader within
 //!   the election time.
-//! - What a controller tells gateways about the configuration is committed, and is as new as what
-//!   its leader had committed, or no leader was there to ask.
+//! - A configuration that a controller sends to gateways is committed, and is as new as what the
+//!   leader had committed, unless no leader could be reached.
 
 mod api;
 pub mod certainty;
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -1,11 +1,12 @@
-//! Decides which workers can take part, from silence, probes and what gateways see.
+//! Decides which workers can take part, from missing registrations, probes and the progress that
+//! gateways report.
 //!
-//! Silence alone proves nothing: a worker may be cut off from controllers while
-//! it serves gateways. While a replica's answers move, all its members run. A
-//! refused connection proves nothing either, since a cut may refuse it; only a
-//! new life under the same address proves that the old one has ended. That life
-//! says so itself when it is probed, or goes on registering while the old one
-//! is silent. One registration is not enough: the old one's may come late.
+//! Silence alone proves nothing: a worker may be partitioned from controllers while it serves
+//! gateways. While a replica's answers make progress, all its members run. A refused connection
+//! proves nothing either, since a partition may refuse it. Only a new instance under the same
+//! address proves that the old one has terminated: it answers the old one's probe under another
+//! name, or continues to register while the old one is silent. One registration is not enough,
+//! since a registration of the old instance may arrive late.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -15,32 +16,36 @@
 use hollowbarrow_schema::WorkerId;
 use tokio::time::Instant;
 
-/// Heartbeats that may be missing before a worker is probed.
-const PROBED_BEATS: f64 = 1.6;
-/// Probes without an answer that make a worker lost.
+/// Heartbeats without a registration after which a worker is probed.
+const PROBE_AFTER_BEATS: f64 = 1.6;
+/// Probes without an answer after which a worker counts as lost.
 const LOST_PROBES: u32 = 2;
-/// Pause between two probes of a worker, and of one that is lost already.
-const PROBE_PAUSE: Duration = Duration::from_millis(300);
-const LOST_PROBE_PAUSE: Duration = Duration::from_millis(2500);
-/// Time without anything of an answer after which a replica with requests stands still.
-const STILL_TIME: Duration = Duration::from_millis(600);
-/// Time for which something of an answer proves that all members run.
-const PROOF_TIME: Duration = Duration::from_millis(600);
-/// Heartbeats for which a new life must go on registering before the old one counts as ended.
+/// Time between two probes of a worker.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Time between two probes of a worker that counts as lost.
+const LOST_PROBE_INTERVAL: Duration = Duration::from_millis(2500);
+/// Time without progress of any answer after which a replica with requests in flight counts as
+/// stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Time for which progress of an answer proves that all members run.
+const PROGRESS_VALIDITY: Duration = Duration::from_millis(600);
+/// Heartbeats for which a new instance must continue to register before the old one counts as
+/// terminated.
 const SUCCESSOR_BEATS: f64 = 2.0;
-/// Time after which a worker that said that it goes has ended.
-const GONE_TIME: Duration = Duration::from_secs(12);
+/// Time after its last report after which a worker that reported its departure counts as
+/// terminated.
+const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What a probe found.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
     /// The worker answered.
     Answered,
-    /// Another worker has the address.
+    /// Another worker answered at the address.
     Replaced,
-    /// A connection to its address was refused.
+    /// A connection to the address was refused.
     Refused,
-    /// No answer came in time.
+    /// No answer arrived within the timeout.
     Silent,
 }
 
@@ -49,42 +54,43 @@
     silent: u32,
     answered: Option<Instant>,
     sent: Option<Instant>,
-    under_way: bool,
+    in_progress: bool,
     replaced: bool,
-    /// How often the worker's numbers had been let go back when this began.
+    /// The worker's `recount` when this record was created: how often a regression of its sequence
+    /// numbers had been accepted.
     recount: Option<u32>,
 }
 
-/// Requests under way at a worker, over all gateways.
+/// Requests in flight at a worker, over all gateways.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerUse {
-    /// Requests that were sent and not answered whole.
+    /// Requests that were sent and not answered completely.
     pub active: u32,
-    /// Estimated time to read the prompts that have had no first event yet.
+    /// Estimated time to process the prompts of requests without a first event.
     pub waiting_ms: u32,
-    /// When something of an answer last came, as far as gateways told.
+    /// When a part of any answer last arrived, as reported by gateways.
     pub progress: Option<Instant>,
 }
 
-/// Standing of each worker, kept by who leads.
+/// Probe results of each worker, kept by the leader.
 #[derive(Debug, Default)]
 pub struct LivenessTracker {
     probes: HashMap<WorkerId, ProbeRecord>,
 }
 
-/// What a judgement rests on.
+/// Inputs of an assessment.
 pub struct LivenessFacts<'a> {
-    /// Requests under way at each worker.
+    /// Requests in flight at each worker.
     pub uses: &'a BTreeMap<WorkerId, WorkerUse>,
-    /// Workers whose address or name another life has taken, see [`find_terminated`].
-    pub ended: &'a HashSet<WorkerId>,
+    /// Workers whose address or name another instance has taken over, see [`find_terminated`].
+    pub terminated: &'a HashSet<WorkerId>,
     /// Time between two registrations of a worker.
     pub heartbeat: Duration,
-    /// When the judgement is made.
+    /// Time of the assessment.
     pub now: Instant,
 }
 
-/// What was found of one worker.
+/// Result of assessing one worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// Whether it can take part.
@@ -94,13 +100,13 @@
 }
 
 impl LivenessTracker {
-    /// Creates a judge that has probed nobody yet.
+    /// Creates a tracker without probe results.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Judges a worker; `head` is the head of the serving replica that it is a member of.
-    pub fn judge(
+    /// Assesses a worker; `head` is the head of the serving replica that the worker is a member of.
+    pub fn assess(
         &self,
         entry: &WorkerEntry,
         head: Option<&WorkerId>,
@@ -109,112 +115,121 @@
         let probe = self.probes.get(&entry.report.id).copied().unwrap_or_default();
         let silence = facts.now.saturating_duration_since(entry.heard);
         let settled = |standing| Assessment { standing, probe: false };
-        if probe.replaced || facts.ended.contains(&entry.report.id) {
+        if probe.replaced || facts.terminated.contains(&entry.report.id) {
             return settled(WorkerStanding::Dead);
         }
         if entry.ended {
-            // A later life was heard of. Until it has gone on, or has answered a probe of this one,
-            // it may be another writer's, and this one may still head a replica.
-            let due =
-                probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= PROBE_PAUSE);
-            return Assessment { standing: WorkerStanding::Lost, probe: due && !probe.under_way };
+            // A later instance has registered. Until it has continued to register, or has answered a
+            // probe of this one, it may come from another writer, and this one may still head a
+            // replica.
+            let due = probe
+                .sent
+                .is_none_or(|at| facts.now.saturating_duration_since(at) >= PROBE_INTERVAL);
+            return Assessment { standing: WorkerStanding::Lost, probe: due && !probe.in_progress };
         }
         if entry.report.gone || entry.report.leaving {
-            let ended = silence > GONE_TIME;
-            return settled(if ended { WorkerStanding::Dead } else { WorkerStanding::Leaving });
+            let terminated = silence > DEPARTURE_TIMEOUT;
+            return settled(if terminated {
+                WorkerStanding::Dead
+            } else {
+                WorkerStanding::Leaving
+            });
         }
         let head_use = head.and_then(|head| facts.uses.get(head)).copied().unwrap_or_default();
-        let moving = |within: Duration| {
+        let progressing = |within: Duration| {
             head_use.progress.is_some_and(|at| facts.now.saturating_duration_since(at) < within)
         };
-        let still = head.is_some() && head_use.active > 0 && !moving(STILL_TIME);
-        let overdue = silence > facts.heartbeat.mul_f64(PROBED_BEATS);
+        let stalled = head.is_some() && head_use.active > 0 && !progressing(STALL_TIMEOUT);
+        let overdue = silence > facts.heartbeat.mul_f64(PROBE_AFTER_BEATS);
         let answered = probe.answered.is_some_and(|at| at > entry.heard);
-        let unheard = probe.silent >= LOST_PROBES;
-        if !(overdue || still || unheard) || (head.is_some() && moving(PROOF_TIME)) {
+        let lost = probe.silent >= LOST_PROBES;
+        if !(overdue || stalled || lost) || (head.is_some() && progressing(PROGRESS_VALIDITY)) {
             return settled(WorkerStanding::Usable);
         }
-        let pause = if unheard { LOST_PROBE_PAUSE } else { PROBE_PAUSE };
+        let pause = if lost { LOST_PROBE_INTERVAL } else { PROBE_INTERVAL };
         let due = probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= pause);
-        let waits = answered && !still && !due;
-        let standing = if unheard { WorkerStanding::Lost } else { WorkerStanding::Usable };
-        Assessment { standing, probe: due && !probe.under_way && !waits }
+        let answered_recently = answered && !stalled && !due;
+        let standing = if lost { WorkerStanding::Lost } else { WorkerStanding::Usable };
+        Assessment { standing, probe: due && !probe.in_progress && !answered_recently }
     }
 
-    /// Notes that a probe goes out.
+    /// Records that a probe is sent.
     pub fn record_probe_sent(&mut self, worker: &WorkerId, now: Instant) {
         let probe = self.probes.entry(worker.clone()).or_default();
         probe.sent = Some(now);
-        probe.under_way = true;
+        probe.in_progress = true;
     }
 
-    /// Notes what a probe found.
+    /// Records the result of a probe.
     pub fn record_probe_result(&mut self, worker: &WorkerId, outcome: ProbeOutcome, now: Instant) {
         let probe = self.probes.entry(worker.clone()).or_default();
-        probe.under_way = false;
+        probe.in_progress = false;
         match outcome {
             ProbeOutcome::Answered => {
                 probe.silent = 0;
                 probe.answered = Some(now);
             }
             ProbeOutcome::Replaced => probe.replaced = true,
-            // A cut may refuse connections too, so that this proves nothing by itself.
+            // A partition may refuse connections too, so a refusal makes the worker lost but does not
+            // prove that it has terminated.
             ProbeOutcome::Refused => probe.silent += LOST_PROBES,
             ProbeOutcome::Silent => probe.silent += 1,
         }
     }
 
-    /// Forgets silent probes of workers that were heard of since, and workers that are not known.
-    pub fn tidy(&mut self, table: &WorkerTable) {
+    /// Resets the unanswered probes of workers that have registered since, and removes workers that
+    /// are not in the table.
+    pub fn prune(&mut self, table: &WorkerTable) {
         self.probes.retain(|worker, _| table.get(worker).is_some());
         for (worker, probe) in &mut self.probes {
             let recount = table.get(worker).and_then(|entry| entry.report.recount);
             if recount > probe.recount {
-                // What was found then was of another writer under this name.
+                // The earlier results concerned another writer under this name.
                 *probe = ProbeRecord { recount, ..ProbeRecord::default() };
             }
-            let heard = table.get(worker).map(|entry| entry.heard);
-            if heard > probe.sent && !probe.under_way {
+            let last_received = table.get(worker).map(|entry| entry.heard);
+            if last_received > probe.sent && !probe.in_progress {
                 probe.silent = 0;
             }
         }
     }
 }
 
-/// Workers that have ended, because another life registers under their address or name.
+/// Finds workers that have terminated because another instance registers under their address or
+/// name.
 pub fn find_terminated(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
-    let mut ended = find_replaced(table, heartbeat);
+    let mut terminated = find_replaced(table, heartbeat);
     let superseded = table.iter().filter(|entry| entry.ended);
-    ended.extend(superseded.filter_map(|old| {
+    terminated.extend(superseded.filter_map(|old| {
         let new = table.newest_of(old.report.id.name())?;
-        goes_on_since(new, old, heartbeat).then(|| old.report.id.clone())
+        has_outlived(new, old, heartbeat).then(|| old.report.id.clone())
     }));
-    ended
+    terminated
 }
 
-/// Workers whose address another life has taken.
+/// Finds workers whose address another instance has taken over.
 fn find_replaced(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
-    let mut lives: HashMap<&str, Vec<&WorkerEntry>> = HashMap::new();
+    let mut by_address: HashMap<&str, Vec<&WorkerEntry>> = HashMap::new();
     for entry in table.iter() {
-        lives.entry(entry.report.address.as_str()).or_default().push(entry);
+        by_address.entry(entry.report.address.as_str()).or_default().push(entry);
     }
-    let shared = lives.into_values().filter(|entries| entries.len() > 1);
-    let ended = shared.flat_map(|entries| {
-        let ended = entries
+    let shared = by_address.into_values().filter(|entries| entries.len() > 1);
+    let replaced = shared.flat_map(|entries| {
+        let replaced = entries
             .iter()
             .filter(|old| entries.iter().any(|new| is_successor(new, old, heartbeat)));
-        ended.map(|old| old.report.id.clone()).collect::<Vec<_>>()
+        replaced.map(|old| old.report.id.clone()).collect::<Vec<_>>()
     });
-    ended.collect()
+    replaced.collect()
 }
 
-/// Whether `new` has gone on registering for long enough since `old` was last heard of.
+/// Whether `new` has continued to register for long enough since the last report of `old`.
 fn is_successor(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
     let later = new.first >= old.first && new.report.id != old.report.id;
-    later && goes_on_since(new, old, heartbeat)
+    later && has_outlived(new, old, heartbeat)
 }
 
-fn goes_on_since(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
+fn has_outlived(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
     let since = new.first.max(old.heard);
     new.heard.saturating_duration_since(since) >= heartbeat.mul_f64(SUCCESSOR_BEATS)
 }
--- a/crates/controller/src/metrics.rs
+++ b/crates/controller/src/metrics.rs
@@ -9,50 +9,42 @@
 
 use crate::records::RecordProblem;
 
-/// Name, unit and meaning of each metric.
+/// Name, unit and description of each metric.
 pub const CONTROLLER_METRICS: &[(&str, &str, &str)] = &[
-    ("controller_orders", "1", "Orders that were given, by order and outcome."),
-    ("controller_probes", "1", "Probes of workers."),
-    (
-        "controller_records_refused",
-        "1",
-        "Calls under a worker's name that no worker makes, by cause.",
-    ),
-    (
-        "controller_tables_sent",
-        "1",
-        "Whole tables of workers that went to daemons that lacked something.",
-    ),
-    ("controller_leads", "1", "1 while this controller is sure to lead."),
+    ("controller_orders", "1", "Orders sent to workers, by order and outcome."),
+    ("controller_probes", "1", "Probes sent to workers."),
+    ("controller_records_refused", "1", "Rejected calls under a worker's name, by cause."),
+    ("controller_tables_sent", "1", "Full worker tables sent to daemons that had missed updates."),
+    ("controller_leads", "1", "1 while a majority confirms that this controller leads."),
     ("controller_term", "1", "Election term."),
     ("controller_voters", "1", "Voters of the log."),
-    ("controller_lost_disk", "1", "1 while this controller's disk counts as lost."),
+    ("controller_lost_disk", "1", "1 while this controller has lost the data on its disk."),
     ("controller_configuration_version", "1", "Version of the newest committed configuration."),
-    ("controller_workers", "1", "Workers that are known, by state: ready, leaving or gone."),
-    ("controller_gateways", "1", "Gateways whose home this controller is."),
+    ("controller_workers", "1", "Known workers, by state: ready, leaving or gone."),
+    ("controller_gateways", "1", "Gateways whose primary controller is this one."),
     (
         "controller_gateways_behind",
         "1",
-        "Gateways heard of that told of an older configuration than the newest committed here.",
+        "Gateways that last reported an older configuration than the newest committed here.",
     ),
     (
         "controller_gateway_lag_ms",
         "ms",
-        "Longest time for which such a gateway has lacked a configuration that is committed here.",
+        "Longest time for which a gateway has lacked a configuration that is committed here.",
     ),
     (
         "controller_configurations_sent",
         "1",
-        "Whole configurations sent to gateways, by cause: committed or lacking.",
+        "Configurations sent to gateways, by cause: committed or lacking.",
     ),
     (
         "controller_messages_dropped",
         "1",
-        "Messages to other daemons that found no room or no connection.",
+        "Messages to other daemons dropped because the queue was full or no connection existed.",
     ),
 ];
 
-/// What a controller counts.
+/// Metrics of a controller.
 pub(crate) struct ControllerMetrics {
     page: MetricsPage,
     orders: Counter<u64>,
@@ -72,7 +64,7 @@
     dropped: Gauge<u64>,
 }
 
-/// Workers by what they last said.
+/// Number of workers by last reported state.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkerCounts {
     pub(crate) ready: u64,
@@ -80,14 +72,14 @@
     pub(crate) gone: u64,
 }
 
-/// Gateways that lack a configuration which is committed here.
+/// Gateways that lack a configuration that is committed here.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GatewayLags {
     pub(crate) behind: u64,
     pub(crate) longest: Duration,
 }
 
-/// What stands now, as it is read when the page is asked for.
+/// Current values of the gauges, read when the metrics page is requested.
 pub(crate) struct ControllerLevels {
     pub(crate) leads: bool,
     pub(crate) term: u64,
@@ -145,7 +137,7 @@
         self.configurations.add(gateways as u64, &[KeyValue::new("cause", cause)]);
     }
 
-    /// The page of text.
+    /// Records the gauges and returns the metrics page in the text format.
     pub(crate) fn to_text(&self, levels: &ControllerLevels) -> String {
         self.leads.record(levels.leads.into(), &[]);
         self.term.record(levels.term, &[]);
--- a/crates/controller/src/orders.rs
+++ b/crates/controller/src/orders.rs
@@ -1,4 +1,4 @@
-//! Carries orders and probes to workers.
+//! Sends orders and probes to workers.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 use crate::liveness::ProbeOutcome;
 use crate::protocol::{ControlProtocol, WorkerMessage};
 
-/// Longest time for an order to be answered.
+/// Time limit for the answer to an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Longest time for a probe to be answered.
+/// Time limit for the answer to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Something that came back from a worker.
+/// Result of a call to a worker.
 pub(crate) enum WorkerEvent {
     Order(ServiceName, OrderTicket, OrderOutcome),
     Probe(WorkerId, ProbeOutcome),
 }
 
-/// Gives an order and says what came of it.
-pub(crate) async fn give_order(
+/// Sends an order and returns its outcome.
+pub(crate) async fn send_order(
     protocol: &dyn ControlProtocol,
     ticket: &OrderTicket,
     fence: u64,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Asks a worker how it is.
+/// Probes a worker.
 pub(crate) async fn probe_worker(
     protocol: &dyn ControlProtocol,
     worker: &WorkerId,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The message as a request; none where the address cannot be a host.
+/// Builds the request for a message; none if the address is not a valid host.
 fn to_request(address: &str, message: WorkerMessage) -> Option<Request<Full<Bytes>>> {
     let mut request = Request::new(Full::new(message.body));
     *request.method_mut() = message.method;
--- a/crates/controller/src/pending.rs
+++ b/crates/controller/src/pending.rs
@@ -1,29 +1,29 @@
-//! What is new of workers and has not gone out yet.
+//! Worker updates that have not been sent yet.
 
 use std::collections::BTreeMap;
 
 use hollowbarrow_schema::{WorkerId, WorkerReport};
 
-/// Reports that are to go out.
+/// Reports that are to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReports {
-    /// What workers told this controller.
-    pub(crate) own: BTreeMap<WorkerId, WorkerReport>,
-    /// What other controllers told.
+    /// Reports that workers sent to this controller.
+    pub(crate) local: BTreeMap<WorkerId, WorkerReport>,
+    /// Reports that other controllers relayed.
     pub(crate) relayed: BTreeMap<WorkerId, WorkerReport>,
-    /// Whether a worker leaves, so that each moment counts.
+    /// Whether a worker leaves: the reports are then sent without waiting for more.
     pub(crate) urgent: bool,
 }
 
 impl PendingReports {
-    /// Adds what a worker told this controller.
-    pub(crate) fn add_own(&mut self, report: WorkerReport) {
+    /// Adds a report that a worker sent to this controller.
+    pub(crate) fn add_local(&mut self, report: WorkerReport) {
         self.urgent |= report.leaving || report.gone;
         self.relayed.remove(&report.id);
-        self.own.insert(report.id.clone(), report);
+        self.local.insert(report.id.clone(), report);
     }
 
-    /// Adds what another controller told.
+    /// Adds a report that another controller relayed.
     pub(crate) fn add_relayed(&mut self, report: WorkerReport) {
         self.urgent |= report.leaving || report.gone;
         self.relayed.insert(report.id.clone(), report);
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How workers and operators spell what a controller decides on.
+//! Translation between a platform's messages and a controller's calls, answers and orders.
 
 use bytes::Bytes;
 use hollowbarrow_fleet::{Deployment, DeploymentFault, OrderOutcome, WorkerOrder};
@@ -14,32 +14,32 @@
 pub enum ControlCall {
     /// A worker registers, or renews its registration.
     Report(Box<WorkerReport>),
-    /// A worker goes.
+    /// A worker deregisters.
     Remove(WorkerId),
-    /// An operator puts a whole configuration in force.
+    /// An operator replaces the configuration.
     Replace(String),
     /// An operator reads the newest configuration.
     Fetch,
-    /// The configuration cannot be read.
+    /// A configuration that is not valid text, with the reason.
     Unreadable(String),
-    /// What was said under a worker's name is not what a worker says.
+    /// A record under a worker's name that no worker would send.
     InvalidRecord(WorkerId, RecordFault),
     /// No such call.
     Unknown,
 }
 
-/// What a call is answered.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlAnswer {
-    /// It was taken.
+    /// The call was accepted.
     Accepted,
-    /// The configuration, as it was sent.
+    /// The configuration, as the operator sent it.
     Document(String),
-    /// It is not valid, for these reasons.
+    /// The call is not valid, for these reasons.
     Invalid(Vec<String>),
-    /// Another daemon answers it.
+    /// Another daemon answers the call; holds its URL.
     Redirect(String),
-    /// It cannot be answered now.
+    /// The call cannot be answered now, for this reason.
     Unavailable(&'static str),
     /// No such call.
     Unknown,
@@ -52,7 +52,7 @@
     pub method: Method,
     /// Path.
     pub path: &'static str,
-    /// Headers; one of them names the worker, so that another one at its address refuses the call.
+    /// Headers; one of them names the worker, so that another worker at its address refuses the call.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
@@ -60,29 +60,30 @@
 
 /// Translates between the messages of a platform and a controller.
 pub trait ControlProtocol: Send + Sync + 'static {
-    /// Reads a whole configuration.
+    /// Parses a full configuration.
     ///
     /// # Errors
     ///
-    /// Lists what cannot be read.
+    /// Lists all faults of the text.
     fn read_deployment(&self, text: &str) -> Result<Deployment, Vec<DeploymentFault>>;
 
-    /// Reads a call.
+    /// Parses a call.
     fn read_call(&self, head: &Parts, body: &[u8]) -> ControlCall;
 
-    /// Status, headers and body of an answer to a call.
+    /// Returns status, headers and body of the answer to a call.
     fn write_answer(&self, answer: &ControlAnswer) -> (StatusCode, HeaderMap, Bytes);
 
-    /// Writes an order to a worker; `fence` grows with each leader.
+    /// Encodes an order to a worker; `fence` grows with each leader, so that a worker can refuse the
+    /// orders of former ones.
     fn write_order(&self, worker: &WorkerId, order: &WorkerOrder, fence: u64) -> WorkerMessage;
 
-    /// Reads the answer to an order.
+    /// Interprets the answer to an order.
     fn read_order_answer(&self, status: StatusCode) -> OrderOutcome;
 
-    /// Asks a worker how it is.
+    /// Encodes a probe of a worker.
     fn write_probe(&self, worker: &WorkerId) -> WorkerMessage;
 
-    /// Reads the answer to a probe of a worker's life.
+    /// Interprets the answer to a probe of a worker.
     fn read_probe_answer(&self, worker: &WorkerId, status: StatusCode, body: &[u8])
     -> ProbeOutcome;
 }
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! What the leader does: judges workers, keeps replicas, orders, and tells gateways.
+//! The leader's control loop: assesses workers, manages replicas, sends orders and publishes views
+//! to gateways.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -19,91 +20,91 @@
 use crate::core::ControllerCore;
 use crate::fleet::FleetState;
 use crate::liveness::{LivenessFacts, LivenessTracker, find_terminated};
-use crate::orders::{WorkerEvent, give_order, probe_worker};
+use crate::orders::{WorkerEvent, probe_worker, send_order};
 use crate::quarantine::QuarantineLog;
 use crate::sync::send_grants;
 use crate::voters::{VOTER_REPLACEMENT_TIMEOUT, VoterFacts, next_voters, voters_for};
 
-/// Longest pause between two steps.
+/// Longest time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Shortest pause between two steps.
-const STEP_PAUSE: Duration = Duration::from_millis(10);
-/// Pause between two views for gateways, unless something that matters has changed.
+/// Delay before a step after a change, which bounds the rate of steps.
+const STEP_DELAY: Duration = Duration::from_millis(10);
+/// Time between two views for gateways, unless the set of withheld workers changes.
 const VIEW_INTERVAL: Duration = Duration::from_millis(90);
-/// Pause between two looks at the voters.
+/// Time between two checks of the voters.
 const VOTERS_INTERVAL: Duration = Duration::from_millis(500);
-/// Heartbeats after which a leader that has just started has heard of every worker.
-const SETTLED_BEATS: f64 = 2.5;
-/// Time after which the first leader of all plans: workers are registering meanwhile.
-const FIRST_SETTLED: Duration = Duration::from_millis(500);
-/// Time after which a leader that has run for longer believes what it has heard: controllers that
-/// were cut off from each other have told each other what they missed by then.
-const SHORT_SETTLED: Duration = Duration::from_millis(1000);
-/// Time for a new voter to catch up before its disk counts as lost again.
+/// Heartbeats after which a daemon that has just started has received a report of every worker.
+const SETTLE_BEATS: f64 = 2.5;
+/// Time before the very first leader plans replicas; workers register meanwhile.
+const FIRST_SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time before a leader whose process has run for longer acts on its worker table. Controllers that
+/// were partitioned have exchanged the updates that they missed by then.
+const SHORT_SETTLE_TIME: Duration = Duration::from_millis(1000);
+/// Time for a new voter to catch up, during which its report of a lost disk is ignored.
 const CATCH_UP_TIME: Duration = Duration::from_secs(5);
-/// Silence after which a worker is forgotten.
-const FORGET_SILENCE: Duration = Duration::from_secs(60);
-/// Time for an order to show in the worker's report before it is given again.
-const ORDER_REPEAT: Duration = Duration::from_millis(1800);
-/// Longest time for the requests of a replica to end before it is taken apart.
-const CLOSE_TIME: Duration = Duration::from_millis(1500);
+/// Time without a report after which a worker is removed from the table.
+const FORGET_AFTER: Duration = Duration::from_secs(60);
+/// Time for an order to show in the worker's report before it is sent again.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1800);
+/// Longest time for the requests of a closing replica to complete before it is dissolved.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Longest time after which an order that got no answer may still be carried out.
-const LATE_ORDER_TIME: Duration = Duration::from_secs(13);
+/// Longest time after which an order without an answer may still be carried out.
+const LATE_ORDER_LIMIT: Duration = Duration::from_secs(13);
 
-/// What a leader keeps for the length of its term.
+/// State that a leader keeps for the length of its term.
 struct Leadership {
     term: Term,
-    judge: LivenessTracker,
+    liveness: LivenessTracker,
     replicas: BTreeMap<ServiceName, ReplicaController>,
     times: LeaderTimes,
     view_number: u64,
     view_due: Instant,
     withheld: Vec<WorkerId>,
-    held_log: QuarantineLog,
+    quarantine_log: QuarantineLog,
     voters_due: Instant,
-    /// Controllers that were made voters lately, and until when they are left alone.
+    /// Controllers that became voters recently, and until when a lost disk of theirs is ignored.
     admitted: BTreeMap<DaemonId, Instant>,
-    /// Replicas that served, by service, when they were last logged.
+    /// Last logged summary of the replicas of each service.
     logged: BTreeMap<ServiceName, String>,
 }
 
-/// Acts as leader whenever this daemon leads, until the process ends.
-pub(crate) async fn run_leader(core: Arc<ControllerCore>, news: flume::Receiver<WorkerEvent>) {
+/// Runs the control loop whenever this daemon leads, until the process ends.
+pub(crate) async fn run_leader(core: Arc<ControllerCore>, events: flume::Receiver<WorkerEvent>) {
     let mut terms: TermState<Leadership> = TermState::new();
     let mut led = false;
     loop {
         tokio::select! {
             () = tokio::time::sleep(STEP_INTERVAL) => {}
-            () = core.changed.notified() => tokio::time::sleep(STEP_PAUSE).await,
-            received = news.recv_async() => {
-                let Ok(received) = received else { return };
-                take_news(received, terms.newest());
+            () = core.changed.notified() => tokio::time::sleep(STEP_DELAY).await,
+            event = events.recv_async() => {
+                let Ok(event) = event else { return };
+                handle_event(event, terms.newest());
             }
         }
-        for received in news.try_iter() {
-            take_news(received, terms.newest());
+        for event in events.try_iter() {
+            handle_event(event, terms.newest());
         }
         let now = Instant::now();
-        core.fleet().expire(FORGET_SILENCE, now);
+        core.fleet().expire(FORGET_AFTER, now);
         let view = core.log.view();
-        let leads = core.is_sure_to_lead(&view, now);
+        let leads = core.is_confirmed_leader(&view, now);
         if leads != std::mem::replace(&mut led, leads) {
             log::info!("event=leadership term={} leads={leads}", *view.term);
         }
         if leads {
-            let held = terms.enter(view.term, || begin_term(&core, &view, now));
-            step(&core, held, &view, now);
+            let leadership = terms.enter(view.term, || begin_term(&core, &view, now));
+            step(&core, leadership, &view, now);
         }
     }
 }
 
-fn take_news(news: WorkerEvent, held: Option<&mut Leadership>) {
+fn handle_event(event: WorkerEvent, leadership: Option<&mut Leadership>) {
     let now = Instant::now();
-    match news {
+    match event {
         WorkerEvent::Probe(worker, outcome) => {
-            if let Some(held) = held {
-                held.judge.record_probe_result(&worker, outcome, now);
+            if let Some(leadership) = leadership {
+                leadership.liveness.record_probe_result(&worker, outcome, now);
             }
         }
         WorkerEvent::Order(service, ticket, outcome) => {
@@ -113,28 +114,30 @@
                 ticket.order.verb(),
                 ticket.order.name().to_text()
             );
-            if let Some(controller) = held.and_then(|held| held.replicas.get_mut(&service)) {
+            if let Some(controller) =
+                leadership.and_then(|leadership| leadership.replicas.get_mut(&service))
+            {
                 controller.note_outcome(&ticket, outcome, now);
             }
         }
     }
 }
 
-/// Whether the system starts for the first time and no request has come yet.
+/// Whether the system starts for the first time and no gateway has reported a request yet.
 fn is_first_start(core: &ControllerCore, fleet: &FleetState) -> bool {
     core.settings.found && !fleet.has_served()
 }
 
 fn begin_term(core: &ControllerCore, view: &LogView, now: Instant) -> Leadership {
     let heartbeat = core.heartbeat();
-    let settling = heartbeat.mul_f64(SETTLED_BEATS);
-    // At the first start there is nothing to take over, and later a leader that has run for a
-    // while has heard of every worker.
+    let settling = heartbeat.mul_f64(SETTLE_BEATS);
+    // At the first start there is nothing to take over, and later a leader whose process has run
+    // for a while has received reports of every worker.
     let first = is_first_start(core, &core.fleet());
     let settle = if first {
-        FIRST_SETTLED
+        FIRST_SETTLE_TIME
     } else if now.duration_since(core.started) > settling {
-        SHORT_SETTLED
+        SHORT_SETTLE_TIME
     } else {
         settling
     };
@@ -142,10 +145,10 @@
     let window = Duration::from_secs(core.settings.load_window_s.into());
     Leadership {
         term: view.term,
-        judge: LivenessTracker::new(),
+        liveness: LivenessTracker::new(),
         replicas: BTreeMap::new(),
         times: LeaderTimes {
-            // At the first start no leader was there before that could have ordered anything.
+            // At the first start no earlier leader can have ordered anything.
             began: if first { core.started } else { now },
             settled: now + settle,
             loads_from: if first { now } else { now + window },
@@ -153,40 +156,40 @@
         view_number: 0,
         view_due: now,
         withheld: Vec::new(),
-        held_log: QuarantineLog::default(),
+        quarantine_log: QuarantineLog::default(),
         voters_due: now,
         admitted: BTreeMap::new(),
         logged: BTreeMap::new(),
     }
 }
 
-fn step(core: &Arc<ControllerCore>, held: &mut Leadership, view: &LogView, now: Instant) {
-    if now >= held.voters_due {
-        held.voters_due = now + VOTERS_INTERVAL;
-        keep_voters(core, held, view, now);
+fn step(core: &Arc<ControllerCore>, leadership: &mut Leadership, view: &LogView, now: Instant) {
+    if now >= leadership.voters_due {
+        leadership.voters_due = now + VOTERS_INTERVAL;
+        maintain_voters(core, leadership, view, now);
     }
     let services = core.engine_services();
     let mut fleet = core.fleet();
-    held.judge.tidy(fleet.table());
+    leadership.liveness.prune(fleet.table());
     let uses = fleet.uses(now);
     let heartbeat = core.heartbeat();
-    let ended = find_terminated(fleet.table(), heartbeat);
-    let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat, now };
+    let terminated = find_terminated(fleet.table(), heartbeat);
+    let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat, now };
     let warming_up = is_first_start(core, &fleet);
     let mut standings: HashMap<WorkerId, WorkerStanding> = HashMap::new();
     let mut probes = Vec::new();
     for entry in fleet.table().iter() {
         let worker = &entry.report.id;
-        let controller = held.replicas.get(&entry.report.service);
+        let controller = leadership.replicas.get(&entry.report.service);
         let head = controller.and_then(|controller| controller.serving_head_of(worker));
-        let judgement = held.judge.judge(entry, head, &facts);
-        if judgement.probe {
+        let assessment = leadership.liveness.assess(entry, head, &facts);
+        if assessment.probe {
             probes.push((worker.clone(), entry.report.address.clone()));
         }
-        standings.insert(worker.clone(), judgement.standing);
+        standings.insert(worker.clone(), assessment.standing);
     }
     for (worker, address) in probes {
-        held.judge.record_probe_sent(&worker, now);
+        leadership.liveness.record_probe_sent(&worker, now);
         spawn_probe(core, worker, address);
     }
     let mut withheld: Vec<WorkerId> = standings
@@ -211,28 +214,28 @@
             })
             .collect();
         let timing = timing_of(core);
-        let (term, times) = (held.term, held.times);
-        let controller = held
+        let (term, times) = (leadership.term, leadership.times);
+        let controller = leadership
             .replicas
             .entry(service.name.clone())
             .or_insert_with(|| ReplicaController::new(timing, term, times));
         for ticket in controller.step(engine, &workers, warming_up, now) {
-            spawn_order(core, &service.name, ticket, held.term);
+            spawn_order(core, &service.name, ticket, leadership.term);
         }
         withheld.extend(controller.withheld());
         let summary = controller.summary();
-        if held.logged.get(&service.name) != Some(&summary) {
+        if leadership.logged.get(&service.name) != Some(&summary) {
             log::info!("event=replicas service={} {summary}", *service.name);
-            held.logged.insert(service.name.clone(), summary);
+            leadership.logged.insert(service.name.clone(), summary);
         }
     }
     withheld.sort();
     withheld.dedup();
-    issue_due(core, held.term, &fleet, now);
-    if now >= held.view_due || withheld != held.withheld {
-        held.view_due = now + VIEW_INTERVAL;
-        held.view_number += 1;
-        held.withheld = withheld;
+    issue_due(core, leadership.term, &fleet, now);
+    if now >= leadership.view_due || withheld != leadership.withheld {
+        leadership.view_due = now + VIEW_INTERVAL;
+        leadership.view_number += 1;
+        leadership.withheld = withheld;
         let loads = uses.iter().map(|(worker, sum)| WorkerLoad {
             worker: worker.clone(),
             active: sum.active,
@@ -241,18 +244,18 @@
                 .progress
                 .map(|at| now.saturating_duration_since(at).as_millis() as u32),
         });
-        let mut held_requests = fleet.crashes().held(now);
-        held.held_log.note(&held_requests);
-        held_requests.extend(fleet.released(now));
+        let mut quarantined = fleet.crashes().held(now);
+        leadership.quarantine_log.record(&quarantined);
+        quarantined.extend(fleet.released(now));
         let view = FleetView {
-            term: held.term,
-            number: held.view_number,
+            term: leadership.term,
+            number: leadership.view_number,
             deployment: core.log.read(DeploymentState::version),
             gateways: fleet.count_gateways(now),
-            controllers: fleet.places(),
-            withheld: held.withheld.clone(),
+            controllers: fleet.locations(),
+            withheld: leadership.withheld.clone(),
             loads: loads.collect(),
-            held: held_requests,
+            held: quarantined,
             leader: Some(core.links().id().clone()),
             limits: core.limits().told_due(now),
         };
@@ -262,7 +265,7 @@
     }
 }
 
-/// Issues the permits that have become due.
+/// Issues the permits that are due.
 fn issue_due(core: &ControllerCore, term: Term, fleet: &FleetState, now: Instant) {
     let grants = {
         let mut limits = core.limits();
@@ -275,33 +278,38 @@
 
 fn timing_of(core: &ControllerCore) -> ReplicaTiming {
     ReplicaTiming {
-        repeat: ORDER_REPEAT,
-        close: CLOSE_TIME,
-        late: LATE_ORDER_TIME,
+        repeat: ORDER_RETRY_INTERVAL,
+        close: CLOSE_TIMEOUT,
+        late: LATE_ORDER_LIMIT,
         load_window: Duration::from_secs(core.settings.load_window_s.into()),
     }
 }
 
-fn keep_voters(core: &ControllerCore, held: &mut Leadership, view: &LogView, now: Instant) {
-    let own = core.links().id();
+fn maintain_voters(
+    core: &ControllerCore,
+    leadership: &mut Leadership,
+    view: &LogView,
+    now: Instant,
+) {
+    let local = core.links().id();
     let (present, mut lost_disks) = {
         let fleet = core.fleet();
         (fleet.controllers(VOTER_REPLACEMENT_TIMEOUT, now), fleet.lost_disks())
     };
-    // A voter that was just admitted says that its disk is lost until it has caught up.
-    held.admitted.retain(|_, until| *until > now);
-    lost_disks.retain(|id| !held.admitted.contains_key(id));
-    let wanted = voters_for(core.settings.losses);
+    // A voter that was just admitted reports its disk as lost until it has caught up.
+    leadership.admitted.retain(|_, until| *until > now);
+    lost_disks.retain(|id| !leadership.admitted.contains_key(id));
+    let desired = voters_for(core.settings.losses);
     let facts = VoterFacts {
-        wanted,
-        own,
+        desired,
+        local,
         voters: &view.voters,
         present: &present,
         lost_disks: &lost_disks,
     };
     let Some(voters) = next_voters(&facts) else { return };
     for added in voters.iter().filter(|voter| !view.voters.contains(voter)) {
-        held.admitted.insert(added.clone(), now + CATCH_UP_TIME);
+        leadership.admitted.insert(added.clone(), now + CATCH_UP_TIME);
     }
     let names: Vec<&str> = voters.iter().map(|voter| voter.as_str()).collect();
     log::info!("event=voters_proposed voters={}", names.join(","));
@@ -309,7 +317,7 @@
     tokio::spawn(log_voters_outcome(outcome));
 }
 
-/// Logs why voters that were asked for did not come about; whether they did shows in the next look.
+/// Logs why a proposed change of voters failed; the next check sees whether it took effect.
 async fn log_voters_outcome(outcome: flume::Receiver<ProposalOutcome>) {
     match outcome.recv_async().await {
         Ok(ProposalOutcome::VotersChanged) => {}
@@ -324,7 +332,7 @@
         let outcome = probe_worker(&*core.protocol, &worker, &address).await;
         core.metrics.count_probe();
         log::info!("event=worker_probed worker={} outcome={outcome:?}", *worker);
-        let _ = core.news.send(WorkerEvent::Probe(worker, outcome));
+        let _ = core.events.send(WorkerEvent::Probe(worker, outcome));
     });
 }
 
@@ -332,8 +340,8 @@
     let core = Arc::clone(core);
     let service = service.clone();
     tokio::spawn(async move {
-        let outcome = give_order(&*core.protocol, &ticket, *term).await;
+        let outcome = send_order(&*core.protocol, &ticket, *term).await;
         core.metrics.count_order(&ticket.order, outcome);
-        let _ = core.news.send(WorkerEvent::Order(service, ticket, outcome));
+        let _ = core.events.send(WorkerEvent::Order(service, ticket, outcome));
     });
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -1,7 +1,7 @@
-//! Which records of workers are taken in, and why others are not.
+//! Validates records that are sent under a worker's name.
 //!
-//! Another writer may use a worker's name. A record that no worker would write is refused whole and
-//! leaves what is held untouched.
+//! Another writer may use a worker's name. A record that no worker would send is rejected as a whole
+//! and leaves the stored state unchanged.
 
 use hollowbarrow_fleet::{Deployment, WorkerTable};
 use hollowbarrow_schema::{WorkerId, WorkerReport};
@@ -10,23 +10,23 @@
 /// What is wrong with a field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordProblem {
-    /// The record is not in the form that all have.
+    /// The record cannot be parsed.
     #[error("cannot be read")]
     Unreadable,
-    /// It is absent.
+    /// The field is absent.
     #[error("is missing")]
     Missing,
-    /// It has another type.
+    /// The field has another type.
     #[error("has another type")]
     WrongType,
-    /// It has the right type and a value that it never has.
+    /// The value has the right type and lies outside the allowed range.
     #[error("is out of its range")]
     OutOfRange,
-    /// It is none of the words that stand there.
-    #[error("is no known word")]
+    /// The value is none of the allowed names.
+    #[error("is not a known value")]
     UnknownValue,
-    /// The worker of this name tells of its start, and this record does not.
-    #[error("is missing, though this worker has told it")]
+    /// The worker of this name reports its start time, and this record has none.
+    #[error("is missing, though this worker has reported it before")]
     MissingStartTime,
     /// The configuration in force does not name the service.
     #[error("is not named by the configuration in force")]
@@ -48,11 +48,11 @@
     }
 }
 
-/// Why a record is refused.
+/// Why a record is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{} {problem}", if field.is_empty() { "the record" } else { field })]
 pub struct RecordFault {
-    /// Field, with its place in lists and objects; empty for the whole record.
+    /// Path of the field within lists and objects; empty for the record as a whole.
     pub field: String,
     /// What is wrong with it.
     pub problem: RecordProblem,
@@ -64,25 +64,25 @@
     }
 }
 
-/// Checks that a call can be of the worker whose name it carries.
+/// Checks that a call can come from the worker whose name it carries.
 ///
 /// # Errors
 ///
-/// Fails where that worker tells of its start and the call does not.
+/// Fails if that worker reports its start time and the call has none.
 pub fn check_start(worker: &WorkerId, table: &WorkerTable) -> Result<(), RecordFault> {
     let newest = table.newest_of(worker.name());
-    let told = newest.is_some_and(|entry| entry.report.id.incarnation().is_some());
-    if told && worker.incarnation().is_none() {
+    let reports_start = newest.is_some_and(|entry| entry.report.id.incarnation().is_some());
+    if reports_start && worker.incarnation().is_none() {
         return Err(RecordFault::new("born", RecordProblem::MissingStartTime));
     }
     Ok(())
 }
 
-/// Checks a report against what is held of its worker and the configuration in force.
+/// Checks a report against the worker's table entry and the configuration in force.
 ///
 /// # Errors
 ///
-/// Says which field cannot be that worker's.
+/// Names the field that cannot come from that worker.
 pub fn check_report(
     report: &WorkerReport,
     table: &WorkerTable,
@@ -92,9 +92,9 @@
     let named = deployment.is_none_or(|deployment| {
         deployment.services.iter().any(|service| service.name == report.service)
     });
-    // A worker whose service has been taken out of the configuration still says when it leaves.
-    let held = table.newest_of(report.id.name());
-    let known = held.is_some_and(|entry| entry.report.service == report.service);
+    // A worker whose service was removed from the configuration still reports that it leaves.
+    let entry = table.newest_of(report.id.name());
+    let known = entry.is_some_and(|entry| entry.report.service == report.service);
     if !(named || known) {
         return Err(RecordFault::new("service", RecordProblem::UnknownService));
     }
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -18,13 +18,13 @@
 use crate::core::ControllerCore;
 use crate::delivery::DeliveryOffer;
 
-/// Pause between two hellos to the leader, which needs to know what gateways have under way.
+/// Time between two hellos to the leader, which needs the gateways' loads.
 const LEADER_INTERVAL: Duration = Duration::from_millis(75);
-/// Hellos to the leader for each one that goes to the other controllers too.
-const HELLOS_TO_LEADER: u32 = 3;
+/// Every this many hellos go to all controllers, the others to the leader alone.
+const HELLOS_PER_BROADCAST: u32 = 3;
 
-/// Tells other controllers of this one until the process ends.
-pub(crate) async fn greet_controllers(core: Arc<ControllerCore>) {
+/// Sends hellos to the other controllers until the process ends.
+pub(crate) async fn send_hellos(core: Arc<ControllerCore>) {
     let mut ticks = tokio::time::interval(LEADER_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut number = 0u32;
@@ -35,18 +35,18 @@
         let leader = core.log.view().leader;
         let (leaders, others): (Vec<DaemonId>, Vec<DaemonId>) =
             controllers.into_iter().partition(|id| leader.as_ref().is_none_or(|l| l == id));
-        let to_all = number.is_multiple_of(HELLOS_TO_LEADER);
+        let to_all = number.is_multiple_of(HELLOS_PER_BROADCAST);
         if leaders.is_empty() && !to_all {
             continue;
         }
-        let hello = write_hello(&core, to_all);
+        let hello = build_hello(&core, to_all);
         if to_all {
             core.links().send_to_all(&others, FleetMessage::Controller(hello.clone()));
         }
         if !leaders.is_empty() {
             let now = Instant::now();
             let mut fleet = core.fleet();
-            let (loads, crashes) = (Some(fleet.homed_loads(now)), fleet.crashes_due(now));
+            let (loads, crashes) = (Some(fleet.primary_gateway_loads(now)), fleet.crashes_due(now));
             drop(fleet);
             let hello = ControllerHello { loads, crashes, ..hello };
             core.links().send_to_all(&leaders, FleetMessage::Controller(hello));
@@ -54,9 +54,10 @@
     }
 }
 
-/// What this controller tells others but for loads; beats only where all are told.
-fn write_hello(core: &ControllerCore, with_beats: bool) -> ControllerHello {
-    // While the log is being founded every disk is empty, and none is lost.
+/// Builds a hello without loads and crash records. Renewed registrations are taken only for a hello
+/// to all controllers, since each renewal is sent once.
+fn build_hello(core: &ControllerCore, with_beats: bool) -> ControllerHello {
+    // While the log is being founded every disk is empty, so an empty disk is not a lost one.
     let lost_disk = core.log.view().lost_disk && !core.settings.found;
     let mut fleet = core.fleet();
     ControllerHello {
@@ -64,14 +65,14 @@
         workers: fleet.table().digest(),
         beats: if with_beats { fleet.take_beats() } else { Vec::new() },
         lost_disk,
-        gateways: fleet.count_homed(),
+        gateways: fleet.count_primary_gateways(),
         served: fleet.has_served(),
         loads: None,
         crashes: Vec::new(),
     }
 }
 
-/// Logs who leads and who votes whenever that changes, until the process ends.
+/// Logs the leader and the voters whenever they change, until the process ends.
 pub(crate) async fn log_quorum(core: Arc<ControllerCore>) {
     let mut views = core.log.watch();
     let mut logged = String::new();
@@ -93,8 +94,8 @@
     }
 }
 
-/// Pushes each configuration to the gateways that depend on this controller as soon as it is
-/// committed.
+/// Sends each configuration, as soon as it is committed, to the gateways that this controller serves
+/// without delay.
 pub(crate) async fn push_deployments(core: Arc<ControllerCore>) {
     loop {
         core.applied.notified().await;
@@ -102,8 +103,8 @@
         let version = core.log.read(DeploymentState::version);
         core.commits().note(version, now);
         log::info!("event=configuration_committed version={version}");
-        if core.tell_basis(now) != ConfigCertainty::Complete {
-            // What this controller holds may be older than what is in force.
+        if core.config_certainty(now) != ConfigCertainty::Complete {
+            // The configuration held here may be older than the one in force.
             continue;
         }
         let Some(deployment) = core.encoded_deployment() else { continue };
@@ -114,15 +115,17 @@
     }
 }
 
-/// Takes a message of another daemon.
-pub(crate) fn take_message(core: &ControllerCore, from: &DaemonId, message: PeerMessage) {
+/// Handles a message of another daemon.
+pub(crate) fn handle_message(core: &ControllerCore, from: &DaemonId, message: PeerMessage) {
     let now = Instant::now();
     match message {
         PeerMessage::Log { name: LogName::Config, message } => core.log.deliver(from, message),
-        PeerMessage::Fleet(FleetMessage::Gateway(hello)) => take_gateway(core, from, hello, now),
+        PeerMessage::Fleet(FleetMessage::Gateway(hello)) => {
+            handle_gateway_hello(core, from, hello, now)
+        }
         PeerMessage::Fleet(FleetMessage::Controller(hello)) => {
             core.learn_controller(from);
-            core.fleet().take_controller(from, hello, now);
+            core.fleet().record_controller(from, hello, now);
         }
         PeerMessage::Fleet(FleetMessage::View(view)) => {
             for place in &view.controllers {
@@ -132,15 +135,15 @@
             core.links().send_to_all(&gateways, FleetMessage::View(view));
         }
         PeerMessage::Fleet(FleetMessage::PermitAsk(ask)) => issue_permits(core, from, &ask, now),
-        PeerMessage::Fleet(FleetMessage::Workers(reports)) => relay_news(core, reports, now),
+        PeerMessage::Fleet(FleetMessage::Workers(reports)) => relay_updates(core, reports, now),
         _ => log::debug!("event=message_refused peer={}", **from),
     }
 }
 
-/// Answers what a gateway tells of workers that name limits; only a leader issues permits.
+/// Handles a gateway's request for permits at workers with limits; only a leader issues permits.
 fn issue_permits(core: &ControllerCore, from: &DaemonId, ask: &PermitAsk, now: Instant) {
     let view = core.log.view();
-    if !core.is_sure_to_lead(&view, now) {
+    if !core.is_confirmed_leader(&view, now) {
         return;
     }
     let answer = {
@@ -155,33 +158,34 @@
     send_grants(core, answer.grants);
 }
 
-/// Sends gateways the permits that they are issued.
+/// Sends issued permits to their gateways.
 pub(crate) fn send_grants(core: &ControllerCore, grants: BTreeMap<DaemonId, PermitGrant>) {
     for (gateway, grant) in grants {
         core.links().send(&gateway, FleetMessage::PermitGrant(grant));
     }
 }
 
-fn take_gateway(core: &ControllerCore, from: &DaemonId, hello: GatewayHello, now: Instant) {
-    let held = hello.deployment;
+fn handle_gateway_hello(core: &ControllerCore, from: &DaemonId, hello: GatewayHello, now: Instant) {
+    let reported = hello.deployment;
     {
         let mut fleet = core.fleet();
-        fleet.take_gateway(from, hello, now);
+        fleet.record_gateway(from, hello, now);
         fleet.log_lag(from, &core.commits(), now);
     }
-    if held >= core.log.read(DeploymentState::version) {
+    if reported >= core.log.read(DeploymentState::version) {
         return;
     }
     let Some(deployment) = core.encoded_deployment() else { return };
     let offer = DeliveryOffer { version: deployment.version(), bytes: deployment.size() };
-    let basis = core.tell_basis(now);
-    if core.fleet().begin_delivery(from, offer, basis, &core.commits(), now) {
+    let certainty = core.config_certainty(now);
+    if core.fleet().begin_delivery(from, offer, certainty, &core.commits(), now) {
         core.metrics.count_configurations("lacking", 1);
         send_deployment(core, from, &deployment);
     }
 }
 
-/// Sends a configuration to a gateway; one that finds no room does not count as on its way.
+/// Sends a configuration to a gateway. One that the full send queue drops does not count as in
+/// transfer.
 fn send_deployment(core: &ControllerCore, gateway: &DaemonId, deployment: &EncodedDeployment) {
     if !core.links().send_deployment(gateway, deployment) {
         let version = deployment.version();
@@ -190,8 +194,8 @@
     }
 }
 
-/// Takes in what another controller heard of workers, and passes on what is new.
-fn relay_news(core: &ControllerCore, reports: Vec<WorkerReport>, now: Instant) {
+/// Merges worker reports of another controller and relays those that changed the table to gateways.
+fn relay_updates(core: &ControllerCore, reports: Vec<WorkerReport>, now: Instant) {
     let changed = core.fleet().merge(reports, now);
     if changed.is_empty() {
         return;
@@ -199,16 +203,16 @@
     let mut pending = core.pending();
     changed.into_iter().for_each(|report| pending.add_relayed(report));
     drop(pending);
-    core.news_due.notify_one();
+    core.updates_due.notify_one();
     core.changed.notify_one();
 }
 
-/// Takes a worker's own report in and passes on what is new in it.
-pub(crate) fn take_report(core: &ControllerCore, report: WorkerReport) {
+/// Records a worker's own report and publishes it if it changed the table.
+pub(crate) fn accept_report(core: &ControllerCore, report: WorkerReport) {
     let id = report.id.clone();
     let mut fleet = core.fleet();
     let former = fleet.table().newest_of(id.name()).map(|entry| entry.report.id.clone());
-    if fleet.take_report(report, core.heartbeat(), Instant::now()) != MergeOutcome::Changed {
+    if fleet.record_report(report, core.heartbeat(), Instant::now()) != MergeOutcome::Changed {
         return;
     }
     let Some(report) = fleet.table().get(&id).map(|entry| entry.report.clone()) else { return };
@@ -220,12 +224,12 @@
         log::warn!("event=worker_recounted worker={} seq={} recount={recount}", *id, report.seq);
     }
     log::debug!("event=worker_changed worker={} seq={}", *id, report.seq);
-    pass_on(core, report);
+    publish_report(core, report);
 }
 
-/// Tells every gateway and controller of a worker.
-pub(crate) fn pass_on(core: &ControllerCore, report: WorkerReport) {
-    core.pending().add_own(report);
-    core.news_due.notify_one();
+/// Publishes a worker's report to the attached gateways and to all controllers.
+pub(crate) fn publish_report(core: &ControllerCore, report: WorkerReport) {
+    core.pending().add_local(report);
+    core.updates_due.notify_one();
     core.changed.notify_one();
 }
--- a/crates/controller/src/table_hashes.rs
+++ b/crates/controller/src/table_hashes.rs
@@ -1,42 +1,43 @@
-//! Digests that a controller's table of workers had lately.
+//! Recent hashes of a controller's worker table.
 //!
-//! News travel for a while, so a daemon whose digest is one of these is on its way to the same
-//! table and needs nothing. Only one that keeps other digests has missed something.
+//! Updates take a while to arrive, so a daemon whose table hash is one of these is about to have the
+//! same table and needs nothing. Only a daemon that keeps reporting other hashes has missed an
+//! update.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time for news to arrive, and for the digest after them to come back.
-const TRAVEL_TIME: Duration = Duration::from_millis(1000);
+/// Time for an update to arrive and for the resulting table hash to be reported back.
+const ROUND_TRIP_LIMIT: Duration = Duration::from_millis(1000);
 
-/// Digests of the last moments.
+/// Hashes that the table had within the last [`ROUND_TRIP_LIMIT`].
 #[derive(Clone, Debug, Default)]
 pub struct TableHashHistory {
-    passed: VecDeque<(u64, Instant)>,
+    recent: VecDeque<(u64, Instant)>,
 }
 
 impl TableHashHistory {
-    /// Notes the digest after news went out.
-    pub fn note(&mut self, digest: u64, now: Instant) {
+    /// Records the table's hash when updates are sent.
+    pub fn record(&mut self, hash: u64, now: Instant) {
         self.drop_old(now);
-        if self.passed.back().is_none_or(|(last, _)| *last != digest) {
-            self.passed.push_back((digest, now));
+        if self.recent.back().is_none_or(|(last, _)| *last != hash) {
+            self.recent.push_back((hash, now));
         }
     }
 
-    /// Whether a daemon with this digest has what it should, if the table's digest now is `own`.
-    pub fn covers(&mut self, digest: u64, own: u64, now: Instant) -> bool {
+    /// Whether a daemon that reports `hash` has missed no update, if the table's hash is `local`.
+    pub fn covers(&mut self, hash: u64, local: u64, now: Instant) -> bool {
         self.drop_old(now);
-        digest == own || self.passed.iter().any(|(passed, _)| *passed == digest)
+        hash == local || self.recent.iter().any(|(recent, _)| *recent == hash)
     }
 
-    /// Drops digests that were replaced by another one a while ago.
+    /// Drops hashes that were replaced by another one before [`ROUND_TRIP_LIMIT`].
     fn drop_old(&mut self, now: Instant) {
-        let replaced_early = |at: Instant| now.saturating_duration_since(at) > TRAVEL_TIME;
-        while self.passed.get(1).is_some_and(|(_, at)| replaced_early(*at)) {
-            self.passed.pop_front();
+        let replaced_long_ago = |at: Instant| now.saturating_duration_since(at) > ROUND_TRIP_LIMIT;
+        while self.recent.get(1).is_some_and(|(_, at)| replaced_long_ago(*at)) {
+            self.recent.pop_front();
         }
     }
 }
--- a/crates/controller/src/tables.rs
+++ b/crates/controller/src/tables.rs
@@ -1,7 +1,7 @@
-//! Paces whole tables of workers to daemons that lack something.
+//! Limits the rate at which full worker tables are sent to daemons that missed updates.
 //!
-//! A table of a large fleet has many kilobytes. Where many daemons come back at once, each gets
-//! one after a while, and none gets another before it can have taken the last one in.
+//! The table of a large fleet has many kilobytes. If many daemons return at once, each gets the
+//! table in turn, and none gets another one before it can have processed the last.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use hollowbarrow_schema::DaemonId;
 use tokio::time::Instant;
 
-/// Shortest time between two tables to one daemon.
-const TABLE_PAUSE: Duration = Duration::from_millis(1000);
-/// Tables that go out at once.
-const TABLES_AT_ONCE: usize = 8;
+/// Shortest time between two tables for one daemon.
+const TABLE_INTERVAL: Duration = Duration::from_millis(1000);
+/// Tables that are sent at once.
+const MAX_TABLES_AT_ONCE: usize = 8;
 
-/// Daemons that need the whole table.
+/// Daemons that need the full table.
 #[derive(Clone, Debug, Default)]
 pub struct TableRequests {
     due: BTreeSet<DaemonId>,
@@ -22,16 +22,16 @@
 }
 
 impl TableRequests {
-    /// Notes that a daemon needs the table.
-    pub fn ask(&mut self, id: &DaemonId) {
+    /// Records that a daemon needs the table.
+    pub fn request(&mut self, id: &DaemonId) {
         self.due.insert(id.clone());
     }
 
-    /// Daemons to send the table to now.
-    pub fn take(&mut self, now: Instant) -> Vec<DaemonId> {
-        self.sent.retain(|_, at| now.saturating_duration_since(*at) < TABLE_PAUSE);
+    /// Takes the daemons to send the table to now.
+    pub fn take_due(&mut self, now: Instant) -> Vec<DaemonId> {
+        self.sent.retain(|_, at| now.saturating_duration_since(*at) < TABLE_INTERVAL);
         let ready = self.due.iter().filter(|id| !self.sent.contains_key(*id));
-        let ready: Vec<DaemonId> = ready.take(TABLES_AT_ONCE).cloned().collect();
+        let ready: Vec<DaemonId> = ready.take(MAX_TABLES_AT_ONCE).cloned().collect();
         for id in &ready {
             self.due.remove(id);
             self.sent.insert(id.clone(), now);
--- a/crates/controller/src/voters.rs
+++ b/crates/controller/src/voters.rs
@@ -1,59 +1,59 @@
-//! Keeps as many voters as the losses to be borne ask for.
+//! Keeps as many voters as are needed to tolerate the configured number of losses.
 //!
-//! With twice as many voters as may be lost and one more, what a majority holds is still held by
-//! one that is left, and those that are left are a majority. The log is founded by the seeds,
-//! which may be fewer; other controllers are added as they are heard of.
+//! With 2n + 1 voters and n of them lost, the remaining ones are a majority, and each entry that a
+//! majority holds is still held by at least one of them. The log is founded by the seeds, which may
+//! be fewer; other controllers are added once they send hellos.
 //!
-//! A voter whose disk came back empty must not vote with what it forgot. It is
-//! removed and then added again, which makes it start from the leader's log. A
-//! voter that stays away is replaced by a controller that does not vote yet.
+//! A voter whose disk came back empty must not vote, since it has lost its earlier votes and
+//! entries. It is removed and then added again, so that it starts from the leader's log. A voter
+//! that stays silent is replaced by a controller that does not vote yet.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use hollowbarrow_schema::DaemonId;
 
-/// Voters that bear the loss of this many.
+/// Number of voters needed to tolerate this many losses.
 pub fn voters_for(losses: u32) -> usize {
     2 * losses as usize + 1
 }
 
-/// Voters below which none is removed: of fewer, each is needed.
-const LEAST_VOTERS: usize = 3;
-/// Silence after which a voter is replaced, where another controller is there.
+/// Number of voters below which none is removed: with fewer, each is needed for a majority.
+const MIN_VOTERS: usize = 3;
+/// Silence after which a voter is replaced, if another controller is available.
 pub const VOTER_REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What is known when voters are looked at.
+/// Inputs of [`next_voters`].
 #[derive(Clone, Debug)]
 pub struct VoterFacts<'a> {
-    /// Voters that the log should have.
-    pub wanted: usize,
-    /// The leader, which looks.
-    pub own: &'a DaemonId,
-    /// Daemons that vote now.
+    /// Number of voters that the log should have.
+    pub desired: usize,
+    /// The leader, which proposes the change.
+    pub local: &'a DaemonId,
+    /// Current voters.
     pub voters: &'a [DaemonId],
-    /// Controllers that were heard of lately.
+    /// Controllers that sent a hello recently.
     pub present: &'a BTreeSet<DaemonId>,
     /// Controllers whose disk came back empty.
     pub lost_disks: &'a [DaemonId],
 }
 
-/// The voters to ask for, if they should be others; one is added or removed at a time.
+/// Returns the voters to propose if they should change; one is added or removed at a time.
 pub fn next_voters(facts: &VoterFacts<'_>) -> Option<Vec<DaemonId>> {
     let is_voter = |id: &DaemonId| facts.voters.contains(id);
-    let without = |gone: &DaemonId| {
-        facts.voters.iter().filter(|voter| *voter != gone).cloned().collect::<Vec<_>>()
+    let without = |removed: &DaemonId| {
+        facts.voters.iter().filter(|voter| *voter != removed).cloned().collect::<Vec<_>>()
     };
-    let emptied = facts.lost_disks.iter().find(|id| is_voter(id) && *id != facts.own);
-    if let Some(emptied) = emptied.filter(|_| facts.voters.len() >= LEAST_VOTERS) {
+    let emptied = facts.lost_disks.iter().find(|id| is_voter(id) && *id != facts.local);
+    if let Some(emptied) = emptied.filter(|_| facts.voters.len() >= MIN_VOTERS) {
         return Some(without(emptied));
     }
     let candidate = facts.present.iter().find(|id| !is_voter(id))?;
-    if facts.voters.len() < facts.wanted {
+    if facts.voters.len() < facts.desired {
         let mut voters = facts.voters.to_vec();
         voters.push(candidate.clone());
         return Some(voters);
     }
-    let absent = |id: &&DaemonId| *id != facts.own && !facts.present.contains(*id);
+    let absent = |id: &&DaemonId| *id != facts.local && !facts.present.contains(*id);
     facts.voters.iter().find(absent).map(without)
 }
--- a/crates/controller/src/worker_updates.rs
+++ b/crates/controller/src/worker_updates.rs
@@ -1,7 +1,8 @@
-//! Tells gateways and other controllers what is new of workers.
+//! Publishes worker updates to gateways and other controllers.
 //!
-//! News go from the controller that a worker told to the other controllers, and from each of them
-//! to the gateways whose home it is. What comes within a few milliseconds goes out as one message.
+//! The controller that receives a worker's report sends it to the other controllers, and each
+//! controller sends it to the gateways whose primary controller it is. Updates of a few milliseconds
+//! are combined into one message.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,43 +13,43 @@
 use crate::core::ControllerCore;
 use crate::pending::PendingReports;
 
-/// Time for which news are gathered.
-const GATHER_TIME: Duration = Duration::from_millis(15);
-/// Longest pause between two looks at who needs a whole table.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for which updates are collected before they are sent.
+const BATCH_DELAY: Duration = Duration::from_millis(15);
+/// Longest time between two checks for daemons that need the full table.
+const TABLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends news out until the process ends.
+/// Sends updates until the process ends.
 pub(crate) async fn publish_updates(core: Arc<ControllerCore>) {
     loop {
         tokio::select! {
-            () = core.news_due.notified() => {
+            () = core.updates_due.notified() => {
                 if !core.pending().urgent {
-                    tokio::time::sleep(GATHER_TIME).await;
+                    tokio::time::sleep(BATCH_DELAY).await;
                 }
             }
-            () = tokio::time::sleep(LOOK_INTERVAL) => {}
+            () = tokio::time::sleep(TABLE_CHECK_INTERVAL) => {}
         }
-        let news = std::mem::take(&mut *core.pending());
-        send_news(&core, news);
+        let pending = std::mem::take(&mut *core.pending());
+        send_updates(&core, pending);
         send_tables(&core);
     }
 }
 
-fn send_news(core: &ControllerCore, news: PendingReports) {
-    if news.own.is_empty() && news.relayed.is_empty() {
+fn send_updates(core: &ControllerCore, pending: PendingReports) {
+    if pending.local.is_empty() && pending.relayed.is_empty() {
         return;
     }
     let now = Instant::now();
     let gateways = {
         let mut fleet = core.fleet();
-        fleet.note_told(now);
+        fleet.record_published(now);
         fleet.attached_gateways()
     };
-    let own: Vec<WorkerReport> = news.own.into_values().collect();
-    let all = own.iter().cloned().chain(news.relayed.into_values()).collect();
+    let local: Vec<WorkerReport> = pending.local.into_values().collect();
+    let all = local.iter().cloned().chain(pending.relayed.into_values()).collect();
     core.links().send_to_all(&gateways, FleetMessage::Workers(all));
-    if !own.is_empty() {
-        core.links().send_to_all(&core.links().controllers(), FleetMessage::Workers(own));
+    if !local.is_empty() {
+        core.links().send_to_all(&core.links().controllers(), FleetMessage::Workers(local));
     }
 }
 
--- a/crates/controller/tests/delivery.rs
+++ b/crates/controller/tests/delivery.rs
@@ -1,4 +1,4 @@
-//! When a gateway gets a configuration from which controller.
+//! When each controller sends a configuration to a gateway.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A configuration of some routes.
+/// A small configuration.
 fn offer(version: u64) -> DeliveryOffer {
     DeliveryOffer { version, bytes: 5_000 }
 }
 
-/// Longest time between two reports of a gateway to a controller that is not its home.
+/// Longest time between two reports of a gateway to a controller that is not its primary one.
 const REPORT_INTERVAL: Duration = Duration::from_millis(900);
-/// Longest time for which a change may be missing, with the delivery itself left out.
+/// Longest time for which a gateway may lack a change, without the transfer itself.
 const MOST_LAG: Duration = Duration::from_millis(1400);
 
-/// A gateway depends on a controller of another zone, while a change comes again and again.
+/// A gateway depends on a controller of another zone while changes follow one another. The lag must
+/// stay bounded even if changes come faster than the fallback delay.
 #[rstest]
-#[case::slower_than_the_wait(500)]
-#[case::as_reported(150)]
+#[case::slower_than_delay(500)]
+#[case::faster_than_delay(150)]
 #[case::fast(20)]
-fn is_due_while_changes_go_on(#[case] pause_ms: u64) {
+fn is_due_during_changes(#[case] pause_ms: u64) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(1, start);
@@ -40,46 +41,46 @@
             reported = now;
             let newest = commits.newest();
             lags.push(state.lag(&commits, now));
-            if state.is_due(offer(newest), DeliveryRole::Far, &commits, now) {
+            if state.is_due(offer(newest), DeliveryRole::Fallback, &commits, now) {
                 state.record_sent(newest, now);
                 state.record_reported_version(newest, now);
             }
         }
     }
-    let longest = lags.into_iter().max().expect("it reported");
+    let longest = lags.into_iter().max().expect("the gateway reported at least once");
     assert!(longest < MOST_LAG, "{longest:?} behind");
 }
 
-/// A gateway holds version 1 and version 2 was committed 100 ms after it was first heard of.
+/// A gateway holds version 1, and version 2 is committed 100 ms after its first report.
 #[rstest]
-#[case::home_at_once(DeliveryRole::Near, 100, true)]
-#[case::others_wait(DeliveryRole::Far, 480, false)]
-#[case::others_step_in(DeliveryRole::Far, 520, true)]
-#[case::unsure_ones_leave_time(DeliveryRole::Unsure, 1080, false)]
-#[case::unsure_ones_step_in(DeliveryRole::Unsure, 1120, true)]
-fn is_due_after_commit(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
+#[case::primary_at_once(DeliveryRole::Primary, 100, true)]
+#[case::fallback_waits(DeliveryRole::Fallback, 480, false)]
+#[case::fallback_sends(DeliveryRole::Fallback, 520, true)]
+#[case::uncertain_waits(DeliveryRole::Uncertain, 1080, false)]
+#[case::uncertain_sends(DeliveryRole::Uncertain, 1120, true)]
+fn is_due_after_commit(#[case] role: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(1, start);
     commits.note(2, start + MS * 100);
     let state = DeliveryState::new(1, start);
-    assert_eq!(state.is_due(offer(2), place, &commits, start + MS * at), due);
+    assert_eq!(state.is_due(offer(2), role, &commits, start + MS * at), due);
 }
 
 #[rstest]
-fn is_due_of_new_life() {
+fn is_due_after_restart() {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(1, start);
     let mut state = DeliveryState::new(1, start);
     let restarted = start + MS * 9000;
     state.record_reported_version(0, restarted);
-    assert!(state.is_due(offer(1), DeliveryRole::Near, &commits, restarted));
+    assert!(state.is_due(offer(1), DeliveryRole::Primary, &commits, restarted));
     assert!(
-        !state.is_due(offer(1), DeliveryRole::Far, &commits, restarted + MS * 300),
-        "its home comes first"
+        !state.is_due(offer(1), DeliveryRole::Fallback, &commits, restarted + MS * 300),
+        "the primary controller has a head start"
     );
-    assert!(state.is_due(offer(1), DeliveryRole::Far, &commits, restarted + MS * 500));
+    assert!(state.is_due(offer(1), DeliveryRole::Fallback, &commits, restarted + MS * 500));
 }
 
 #[rstest]
@@ -90,39 +91,42 @@
     let mut state = DeliveryState::new(1, start);
     state.record_sent(2, start);
     assert!(
-        !state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 75),
-        "it is on its way"
+        !state.is_due(offer(2), DeliveryRole::Primary, &commits, start + MS * 75),
+        "version 2 is in transfer"
+    );
+    assert!(
+        state.is_due(offer(2), DeliveryRole::Primary, &commits, start + MS * 300),
+        "version 2 was lost"
     );
-    assert!(state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 300), "it was lost");
     state.record_sent(2, start + MS * 300);
     state.record_dropped();
     assert!(
-        state.is_due(offer(2), DeliveryRole::Near, &commits, start + MS * 301),
-        "it found no room"
+        state.is_due(offer(2), DeliveryRole::Primary, &commits, start + MS * 301),
+        "version 2 was dropped by the send queue"
     );
     state.record_sent(2, start + MS * 301);
     commits.note(3, start + MS * 302);
     assert!(
-        state.is_due(offer(3), DeliveryRole::Near, &commits, start + MS * 303),
-        "a newer one does not wait"
+        state.is_due(offer(3), DeliveryRole::Primary, &commits, start + MS * 303),
+        "a newer version is sent at once"
     );
 }
 
-/// Copies of a configuration with 7,000 routes went out every 250 ms, from up to six controllers at
-/// once, while the first one took longer than that: they held each other up.
+/// Guards against duplicates that slow each other down: a configuration with 7,000 routes was sent
+/// every 250 ms, from up to six controllers at once, while the first transfer took longer than that.
 #[rstest]
-#[case::second_copy_from_home(DeliveryRole::Near, 1_000, false)]
-#[case::second_copy_once_the_first_is_late(DeliveryRole::Near, 1_300, true)]
-#[case::copy_of_another_zone(DeliveryRole::Far, 1_300, false)]
-#[case::copy_of_another_zone_once_late(DeliveryRole::Far, 1_500, true)]
-fn is_due_of_large_one(#[case] place: DeliveryRole, #[case] at: u32, #[case] due: bool) {
+#[case::duplicate_from_primary(DeliveryRole::Primary, 1_000, false)]
+#[case::duplicate_from_primary_once_late(DeliveryRole::Primary, 1_300, true)]
+#[case::duplicate_from_other_zone(DeliveryRole::Fallback, 1_300, false)]
+#[case::duplicate_from_other_zone_once_late(DeliveryRole::Fallback, 1_500, true)]
+fn is_due_of_large_configuration(#[case] role: DeliveryRole, #[case] at: u32, #[case] due: bool) {
     let start = Instant::now();
     let mut commits = VersionTimes::default();
     commits.note(2, start);
     let mut state = DeliveryState::new(1, start);
-    if place == DeliveryRole::Near {
+    if role == DeliveryRole::Primary {
         state.record_sent(2, start);
     }
     let large = DeliveryOffer { version: 2, bytes: 1_000_000 };
-    assert_eq!(state.is_due(large, place, &commits, start + MS * at), due);
+    assert_eq!(state.is_due(large, role, &commits, start + MS * at), due);
 }
--- a/crates/controller/tests/liveness.rs
+++ b/crates/controller/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Which workers count as usable, lost or ended.
+//! Which workers count as usable, lost or terminated.
 
 mod standins;
 
@@ -16,7 +16,7 @@
 
 const HEARTBEAT: Duration = Duration::from_millis(1000);
 
-/// The table after registrations that come at given times, in milliseconds.
+/// Builds a table from registrations at the given times, in milliseconds.
 fn table_after(start: Instant, registrations: &[(u64, &str, u64)]) -> WorkerTable {
     let mut table = WorkerTable::new();
     for (at, id, seq) in registrations {
@@ -25,21 +25,24 @@
     table
 }
 
-/// The old life has the address `x` first; the new one takes it over.
+/// Two instances register under the same address.
 #[rstest]
-#[case::new_life_goes_on(&[(0, "old", 1), (1000, "new", 1), (2000, "new", 2), (3000, "new", 3)], &["old"])]
-#[case::new_life_just_came(&[(0, "old", 1), (1000, "new", 1), (2000, "new", 2)], &[])]
-#[case::old_life_is_heard_late(
+#[case::new_instance_continues(&[(0, "old", 1), (1000, "new", 1), (2000, "new", 2), (3000, "new", 3)], &["old"])]
+#[case::new_instance_just_started(&[(0, "old", 1), (1000, "new", 1), (2000, "new", 2)], &[])]
+#[case::old_instance_reports_late(
     &[(0, "old", 1), (1000, "new", 1), (2000, "new", 2), (3000, "new", 3), (3100, "old", 2)], &[])]
-#[case::old_life_is_first_heard_late(&[(0, "new", 1), (1000, "new", 2), (1500, "old", 7)], &[])]
-#[case::told_at_once_by_another_controller(
+#[case::old_instance_first_reports_late(&[(0, "new", 1), (1000, "new", 2), (1500, "old", 7)], &[])]
+#[case::both_relayed_at_once(
     &[(0, "old", 5), (0, "new", 3), (1000, "new", 4), (2000, "new", 5)], &["old"])]
-fn find_ended_lives(#[case] registrations: &[(u64, &str, u64)], #[case] expected: &[&str]) {
+fn find_terminated_instances(
+    #[case] registrations: &[(u64, &str, u64)],
+    #[case] expected: &[&str],
+) {
     let table = table_after(Instant::now(), registrations);
-    let mut ended: Vec<String> =
+    let mut terminated: Vec<String> =
         find_terminated(&table, HEARTBEAT).iter().map(ToString::to_string).collect();
-    ended.sort();
-    assert_eq!(ended, expected);
+    terminated.sort();
+    assert_eq!(terminated, expected);
 }
 
 #[rstest]
@@ -48,70 +51,72 @@
 #[case::silent_once(&[ProbeOutcome::Silent], WorkerStanding::Usable)]
 #[case::silent_twice(&[ProbeOutcome::Silent, ProbeOutcome::Silent], WorkerStanding::Lost)]
 #[case::refused(&[ProbeOutcome::Refused], WorkerStanding::Lost)]
-fn judge_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStanding) {
+fn assess_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStanding) {
     let start = Instant::now();
     let table = table_after(start, &[(0, "w", 1)]);
     let worker = WorkerId::from("w");
     let now = start + HEARTBEAT * 2;
-    let mut judge = LivenessTracker::new();
+    let mut tracker = LivenessTracker::new();
     for outcome in outcomes {
-        judge.record_probe_sent(&worker, now);
-        judge.record_probe_result(&worker, *outcome, now);
+        tracker.record_probe_sent(&worker, now);
+        tracker.record_probe_result(&worker, *outcome, now);
     }
-    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
-    let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
-    let entry = table.get(&worker).expect("it has registered");
-    assert_eq!(judge.judge(entry, None, &facts).standing, expected);
+    let (uses, terminated) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
+    let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat: HEARTBEAT, now };
+    let entry = table.get(&worker).expect("the worker has registered");
+    assert_eq!(tracker.assess(entry, None, &facts).standing, expected);
 }
 
-/// A later life under the same name: at first it may be another writer's, and the former life is
-/// probed; once it has gone on, or answered that probe, the former life has ended.
+/// A later instance registers under the same name. At first it may come from another writer, and the
+/// former instance is probed. Once the later one has continued to register, or has answered that
+/// probe, the former one counts as terminated.
 #[rstest]
-#[case::just_heard(&[], 0, WorkerStanding::Lost)]
-#[case::probe_answered_by_it(&[ProbeOutcome::Replaced], 0, WorkerStanding::Dead)]
-#[case::former_life_answered(&[ProbeOutcome::Answered], 0, WorkerStanding::Lost)]
-#[case::goes_on(&[], 2, WorkerStanding::Dead)]
-fn judge_earlier_life(
+#[case::first_registration(&[], 0, WorkerStanding::Lost)]
+#[case::later_instance_answered(&[ProbeOutcome::Replaced], 0, WorkerStanding::Dead)]
+#[case::former_instance_answered(&[ProbeOutcome::Answered], 0, WorkerStanding::Lost)]
+#[case::continues(&[], 2, WorkerStanding::Dead)]
+fn assess_former_instance(
     #[case] outcomes: &[ProbeOutcome],
     #[case] beats: u64,
     #[case] expected: WorkerStanding,
 ) {
     let start = Instant::now();
-    let life = |born| WorkerId::of_life("w", Some(Incarnation(born)));
-    let (former, next) = (life(5), life(6));
+    let instance = |started| WorkerId::of_life("w", Some(Incarnation(started)));
+    let (former, next) = (instance(5), instance(6));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     for beat in 0..=beats {
         table.merge(report(next.as_str(), beat + 1), start + HEARTBEAT * (beat as u32 + 1));
     }
     let now = start + HEARTBEAT * (beats as u32 + 1);
-    let mut judge = LivenessTracker::new();
+    let mut tracker = LivenessTracker::new();
     for outcome in outcomes {
-        judge.record_probe_sent(&former, now);
-        judge.record_probe_result(&former, *outcome, now);
+        tracker.record_probe_sent(&former, now);
+        tracker.record_probe_result(&former, *outcome, now);
     }
-    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
-    let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
-    let entry = table.get(&former).expect("it is remembered");
-    assert_eq!(judge.judge(entry, None, &facts).standing, expected);
-    let entry = table.get(&next).expect("it has registered");
-    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStanding::Usable);
+    let (uses, terminated) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
+    let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat: HEARTBEAT, now };
+    let entry = table.get(&former).expect("the former instance is in the table");
+    assert_eq!(tracker.assess(entry, None, &facts).standing, expected);
+    let entry = table.get(&next).expect("the worker has registered");
+    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStanding::Usable);
 }
 
-/// Another writer's later life answered for the worker, which goes on and is believed again.
+/// Another writer registered a later instance and answered the worker's probe. The worker continues
+/// to register, with an accepted regression of its sequence numbers, and is usable again.
 #[rstest]
-fn judge_recounted_life() {
+fn assess_recounted_instance() {
     let start = Instant::now();
     let former = WorkerId::of_life("w", Some(Incarnation(5)));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
-    let mut judge = LivenessTracker::new();
-    judge.record_probe_sent(&former, start);
-    judge.record_probe_result(&former, ProbeOutcome::Replaced, start);
+    let mut tracker = LivenessTracker::new();
+    tracker.record_probe_sent(&former, start);
+    tracker.record_probe_result(&former, ProbeOutcome::Replaced, start);
     let recounted = WorkerReport { recount: Some(1), ..report(former.as_str(), 2) };
     table.merge(recounted, start + HEARTBEAT);
-    judge.tidy(&table);
-    let (uses, ended) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
+    tracker.prune(&table);
+    let (uses, terminated) = (BTreeMap::new(), find_terminated(&table, HEARTBEAT));
     let now = start + HEARTBEAT;
-    let facts = LivenessFacts { uses: &uses, ended: &ended, heartbeat: HEARTBEAT, now };
-    let entry = table.get(&former).expect("it is there");
-    assert_eq!(judge.judge(entry, None, &facts).standing, WorkerStanding::Usable);
+    let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat: HEARTBEAT, now };
+    let entry = table.get(&former).expect("the former instance is in the table");
+    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStanding::Usable);
 }
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -1,4 +1,4 @@
-//! Calls under a worker's name against what is held of that worker.
+//! Which calls under a worker's name are accepted, given the worker's table entry.
 
 mod standins;
 
@@ -12,8 +12,8 @@
 use standins::report;
 use tokio::time::Instant;
 
-fn life(born: Option<u64>) -> WorkerId {
-    WorkerId::of_life("w", born.map(Incarnation))
+fn instance(started: Option<u64>) -> WorkerId {
+    WorkerId::of_life("w", started.map(Incarnation))
 }
 
 fn deployment(service: &str) -> Deployment {
@@ -38,38 +38,38 @@
 }
 
 #[rstest]
-#[case::nothing_held(None, None, true)]
-#[case::never_told(Some(None), None, true)]
-#[case::told_first_now(Some(None), Some(5), true)]
-#[case::told_again(Some(Some(5)), Some(5), true)]
-#[case::later_life(Some(Some(5)), Some(6), true)]
-#[case::told_before(Some(Some(5)), None, false)]
-fn check_birth_lives(
-    #[case] held: Option<Option<u64>>,
-    #[case] born: Option<u64>,
-    #[case] sound: bool,
+#[case::unknown_worker(None, None, true)]
+#[case::never_reported(Some(None), None, true)]
+#[case::first_reported_now(Some(None), Some(5), true)]
+#[case::same_start(Some(Some(5)), Some(5), true)]
+#[case::later_instance(Some(Some(5)), Some(6), true)]
+#[case::reported_before(Some(Some(5)), None, false)]
+fn check_start_instances(
+    #[case] known: Option<Option<u64>>,
+    #[case] started: Option<u64>,
+    #[case] valid: bool,
 ) {
     let mut table = WorkerTable::new();
-    if let Some(held) = held {
-        table.merge(report(&life(held), 1), Instant::now());
+    if let Some(known) = known {
+        table.merge(report(&instance(known), 1), Instant::now());
     }
-    let fault = check_start(&life(born), &table).err().map(|fault| fault.problem);
-    assert_eq!(fault, (!sound).then_some(RecordProblem::MissingStartTime));
+    let fault = check_start(&instance(started), &table).err().map(|fault| fault.problem);
+    assert_eq!(fault, (!valid).then_some(RecordProblem::MissingStartTime));
 }
 
 #[rstest]
 #[case::no_configuration(None, false, true)]
 #[case::named(Some("chat"), false, true)]
 #[case::not_named(Some("other"), false, false)]
-// A worker whose service was taken out says that it leaves.
+// A worker whose service was removed from the configuration still reports that it leaves.
 #[case::named_before(Some("other"), true, true)]
-fn check_report_services(#[case] named: Option<&str>, #[case] known: bool, #[case] sound: bool) {
+fn check_report_services(#[case] named: Option<&str>, #[case] known: bool, #[case] valid: bool) {
     let mut table = WorkerTable::new();
     if known {
-        table.merge(report(&life(Some(4)), 1), Instant::now());
+        table.merge(report(&instance(Some(4)), 1), Instant::now());
     }
     let deployment = named.map(deployment);
-    let checked = check_report(&report(&life(Some(5)), 1), &table, deployment.as_ref());
+    let checked = check_report(&report(&instance(Some(5)), 1), &table, deployment.as_ref());
     let fault = checked.err().map(|fault| fault.problem);
-    assert_eq!(fault, (!sound).then_some(RecordProblem::UnknownService));
+    assert_eq!(fault, (!valid).then_some(RecordProblem::UnknownService));
 }
--- a/crates/controller/tests/standins/mod.rs
+++ b/crates/controller/tests/standins/mod.rs
@@ -1,8 +1,8 @@
-//! Reports of stand-in workers.
+//! Reports of simulated workers.
 
 use hollowbarrow_schema::{ServiceName, WorkerId, WorkerReport, ZoneId};
 
-/// A report of a plain worker of the service `chat`.
+/// Returns the report of a worker of the service `chat` that is ready and idle.
 pub fn report(id: &str, seq: u64) -> WorkerReport {
     WorkerReport {
         id: WorkerId::from(id),
--- a/crates/controller/tests/voters.rs
+++ b/crates/controller/tests/voters.rs
@@ -1,4 +1,4 @@
-//! Which voters the leader asks for.
+//! Which voters the leader proposes.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +11,17 @@
 }
 
 #[rstest]
-#[case::all_well(1, "a,b,c", "b,c", "", None)]
-#[case::another_controller_is_not_needed(1, "a,b,c", "b,c,d", "", None)]
-#[case::more_losses_ask_for_more(2, "a,b,c", "b,c,d,e", "", Some("a,b,c,d"))]
-#[case::and_more(2, "a,b,c,d", "b,c,d,e", "", Some("a,b,c,d,e"))]
+#[case::all_available(1, "a,b,c", "b,c", "", None)]
+#[case::spare_controller(1, "a,b,c", "b,c,d", "", None)]
+#[case::more_losses_need_more_voters(2, "a,b,c", "b,c,d,e", "", Some("a,b,c,d"))]
+#[case::one_more_voter(2, "a,b,c,d", "b,c,d,e", "", Some("a,b,c,d,e"))]
 #[case::too_few_controllers(2, "a,b,c", "b,c", "", None)]
 #[case::too_few_controllers_and_a_lost_disk(2, "a,b,c", "b,c", "c", Some("a,b"))]
 #[case::lost_disk_is_removed(1, "a,b,c", "b,c", "b", Some("a,c"))]
-#[case::and_admitted_anew(1, "a,c", "b,c", "b", Some("a,c,b"))]
+#[case::lost_disk_is_added_again(1, "a,c", "b,c", "b", Some("a,c,b"))]
 #[case::lost_disk_of_two_is_kept(1, "a,b", "b", "b", None)]
 #[case::absent_is_replaced(1, "a,b,c", "b,d", "", Some("a,b"))]
-#[case::absent_without_another(1, "a,b,c", "b", "", None)]
+#[case::absent_without_replacement(1, "a,b,c", "b", "", None)]
 fn next_voters_cases(
     #[case] losses: u32,
     #[case] voters: &str,
@@ -29,12 +29,12 @@
     #[case] lost: &str,
     #[case] expected: Option<&str>,
 ) {
-    let own = DaemonId::from("a");
+    let local = DaemonId::from("a");
     let present: BTreeSet<DaemonId> = ids(present).into_iter().collect();
     let (voters, lost_disks) = (ids(voters), ids(lost));
     let facts = VoterFacts {
-        wanted: voters_for(losses),
-        own: &own,
+        desired: voters_for(losses),
+        local: &local,
         voters: &voters,
         present: &present,
         lost_disks: &lost_disks,
