--- a/crates/zone/src/authority.rs
+++ b/crates/zone/src/authority.rs
@@ -1,17 +1,18 @@
-//! Which daemon is a zone's authority, and the zone's replicated table.
+//! Election of a zone's authority, and replication of the zone's table.
 //!
-//! The members of a zone are its daemons. A candidate asks all of them for a
-//! promise under a new term; with a majority's it becomes the holder, takes
-//! over the newest table among the promises and keeps its lease by renewing it
-//! with a majority. Most daemons have no disk, so nothing here relies on one:
-//! a member that restarts abstains for as long as any lease it may have granted
+//! The members of a zone's authority are daemons. A candidate asks all of them
+//! for a promise under a new term. With promises of a majority it becomes the
+//! holder, adopts the newest table among the promises and renews its lease with
+//! a majority. Most daemons have no disk, so the protocol does not need one: a
+//! member that restarts abstains for as long as any lease it may have granted
 //! can last, and until it has the table again its promise does not count
 //! towards a majority, unless every member of the zone takes part.
 //!
-//! Members time a lease from when they grant it and lengthen it by the drift
-//! margin; the holder times it from before it asked. So a holder's lease always
-//! ends before the members are free to promise to another, as long as two
-//! clocks do not differ in speed by more than the margin.
+//! Members measure a lease from the time at which they grant it and lengthen it
+//! by the drift margin; the holder measures it from before it sent the request.
+//! A holder's lease therefore always expires before the members are free to
+//! promise to another daemon, as long as no two clocks differ in speed by more
+//! than the margin.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,15 +22,15 @@
 
 use crate::config::AuthorityConfig;
 
-/// A holder renews this many times in each lease.
+/// Renewals per length of a lease.
 const RENEWALS_PER_LEASE: u32 = 4;
 
-/// Where a member keeps the table across restarts, if it has a disk.
+/// Storage for the table across restarts, for members with a disk.
 pub trait TableStore: Send {
-    /// Reads what was saved last.
+    /// Reads the table that was saved last.
     fn load(&mut self) -> Option<ZoneTable>;
 
-    /// Saves the table durably; false where that may have failed.
+    /// Saves the table durably; returns false if that may have failed.
     fn save(&mut self, table: &ZoneTable) -> bool;
 }
 
@@ -60,18 +61,18 @@
     Holder(Tenure),
 }
 
-/// How far the table that a daemon knows of its zone can be acted on.
+/// Whether a daemon can act on its copy of the zone's table.
 #[derive(Clone, Copy, Debug)]
 pub enum TableStanding<'a> {
     /// This daemon does not hold the authority.
     NotHeld,
-    /// This daemon holds the authority, and a majority has not taken its newest change in yet.
+    /// This daemon holds the authority, and a majority has not stored its newest change yet.
     Unsettled,
-    /// This daemon holds the authority, and a majority holds the table.
+    /// This daemon holds the authority, and a majority has stored the table.
     Settled(&'a ZoneTable),
 }
 
-/// One daemon's part in its zone's authority.
+/// State machine of one member of a zone's authority.
 pub struct AuthorityMember {
     config: AuthorityConfig,
     store: Option<Box<dyn TableStore>>,
@@ -88,9 +89,9 @@
 }
 
 impl AuthorityMember {
-    /// Creates a member as it is after the start of its process.
+    /// Creates a member in its state after the start of the process.
     ///
-    /// `jitter`, from 0 to 1, spreads the members' candidacies.
+    /// `jitter`, from 0 to 1, spreads the members' candidacies over time.
     pub fn new(
         config: AuthorityConfig,
         mut store: Option<Box<dyn TableStore>>,
@@ -115,12 +116,12 @@
         }
     }
 
-    /// The newest table known here; it may be older than the authority's.
+    /// The newest table known here; it may be older than the holder's.
     pub fn table(&self) -> Option<&ZoneTable> {
         self.table.as_ref()
     }
 
-    /// Who this member believes to be the authority.
+    /// The daemon that holds the authority, as far as this member knows.
     pub fn holder(&self, now: Instant) -> Option<&DaemonId> {
         match &self.role {
             MemberRole::Holder(_) if self.remaining(now).is_some() => Some(&self.config.id),
@@ -128,24 +129,24 @@
         }
     }
 
-    /// How much of this daemon's own authority is left, none where it has none.
+    /// Returns the remaining time of this daemon's authority, none if it does not hold the authority.
     ///
-    /// An order may be given only if it surely ends within this time.
+    /// An order may be sent only if it is certain to complete within this time.
     pub fn remaining(&self, now: Instant) -> Option<Duration> {
         let MemberRole::Holder(tenure) = &self.role else { return None };
-        tenure.until?.checked_duration_since(now).filter(|left| !left.is_zero())
+        tenure.until?.checked_duration_since(now).filter(|remaining| !remaining.is_zero())
     }
 
-    /// The table, if this daemon is the authority and a majority holds the table.
+    /// Returns the table if this daemon holds the authority and a majority has stored the table.
     pub fn settled_table(&self, now: Instant) -> Option<&ZoneTable> {
         self.remaining(now)?;
         let MemberRole::Holder(tenure) = &self.role else { return None };
         let table = self.table.as_ref()?;
-        let holders = tenure.acks.values().filter(|(_, version)| *version >= table.version);
-        (holders.count() + 1 >= self.config.majority()).then_some(table)
+        let stored = tenure.acks.values().filter(|(_, version)| *version >= table.version);
+        (stored.count() + 1 >= self.config.majority()).then_some(table)
     }
 
-    /// How far the table known here can be acted on.
+    /// Returns whether this daemon can act on its copy of the table.
     pub fn standing(&self, now: Instant) -> TableStanding<'_> {
         match self.settled_table(now) {
             Some(table) => TableStanding::Settled(table),
@@ -154,10 +155,10 @@
         }
     }
 
-    /// Replaces the table by a changed one under the next version; the authority only.
+    /// Changes the table and increments its version, if this daemon holds the authority.
     ///
-    /// Returns whether the change was taken; it is settled once
-    /// [`AuthorityMember::settled_table`] shows it.
+    /// Returns whether the change was accepted; it is settled once
+    /// [`AuthorityMember::settled_table`] returns it.
     pub fn change_table(&mut self, change: impl FnOnce(&mut ZoneTable), now: Instant) -> bool {
         if self.remaining(now).is_none() {
             return false;
@@ -166,33 +167,33 @@
         change(&mut table);
         table.version += 1;
         table.term = self.promised;
-        if !self.keep_table(table) {
+        if !self.store_table(table) {
             return false;
         }
         self.renew(now);
         true
     }
 
-    /// Takes a table heard of by other ways as the best known one while recovering.
+    /// Adopts a newer table that was received outside this protocol, if this member is recovering.
     pub fn offer_table(&mut self, table: &ZoneTable) {
-        let newer = self.table.as_ref().is_none_or(|own| own.rank() < table.rank());
+        let newer = self.table.as_ref().is_none_or(|known| known.rank() < table.rank());
         if self.recovering && newer && table.zone == self.config.zone {
             self.table = Some(table.clone());
         }
     }
 
-    /// Gives up the authority and stands no more, because the daemon is about to stop.
+    /// Gives up the authority and starts no further candidacy, because the daemon is about to stop.
     pub fn hand_over(&mut self) {
         self.stopping = true;
         self.role = MemberRole::Member;
     }
 
-    /// Messages to send.
+    /// Takes the messages to send.
     pub fn take_outgoing(&mut self) -> Vec<(DaemonId, AuthorityMessage)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// When [`AuthorityMember::tick`] is next due.
+    /// Returns when [`AuthorityMember::tick`] is next due.
     pub fn next_deadline(&self) -> Instant {
         match &self.role {
             MemberRole::Holder(tenure) => tenure.next_renewal,
@@ -200,17 +201,17 @@
         }
     }
 
-    /// Acts on the passing of time.
+    /// Handles timeouts: renews or loses the lease, or starts a candidacy.
     pub fn tick(&mut self, now: Instant) {
         if now < self.next_deadline() {
             return;
         }
         match &self.role {
             MemberRole::Holder(tenure) => {
-                let fresh = tenure.starts.values().next();
+                let oldest = tenure.starts.values().next();
                 let lapsed = match tenure.until {
                     Some(until) => until <= now,
-                    None => fresh.is_some_and(|start| *start + self.config.lease <= now),
+                    None => oldest.is_some_and(|start| *start + self.config.lease <= now),
                 };
                 if lapsed {
                     self.role = MemberRole::Member;
@@ -219,11 +220,11 @@
                     self.renew(now);
                 }
             }
-            _ => self.stand(now),
+            _ => self.start_candidacy(now),
         }
     }
 
-    fn stand(&mut self, now: Instant) {
+    fn start_candidacy(&mut self, now: Instant) {
         self.next_candidacy = now + self.config.lease.mul_f64(0.25 + self.jitter / 2.0);
         let leased = self.lease.as_ref().is_some_and(|lease| lease.expires > now);
         if leased || self.stopping || !self.config.members.contains(&self.config.id) {
@@ -231,8 +232,8 @@
         }
         let floor = self.table.as_ref().map(|table| table.term).unwrap_or_default();
         self.promised = self.config.term_after(self.promised.max(floor));
-        let own = (self.recovering, self.table.clone());
-        let promises = BTreeMap::from([(self.config.id.clone(), own)]);
+        let local = (self.recovering, self.table.clone());
+        let promises = BTreeMap::from([(self.config.id.clone(), local)]);
         self.role = MemberRole::Candidate(Candidacy { promises });
         let term = self.promised;
         self.send_others(&AuthorityMessage::Prepare { term });
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Acts on a message from another member.
+    /// Handles a message from another member.
     pub fn step(&mut self, from: &DaemonId, message: AuthorityMessage, now: Instant) {
         if !self.config.members.contains(from) {
             return;
@@ -265,11 +266,11 @@
     }
 
     fn is_free_for(&self, other: &DaemonId, now: Instant) -> bool {
-        let own_holding =
+        let holds_authority =
             matches!(self.role, MemberRole::Holder(_)) && self.remaining(now).is_some();
         let leased =
             self.lease.as_ref().is_some_and(|lease| lease.holder != *other && lease.expires > now);
-        !own_holding && !leased && now >= self.abstains_until
+        !holds_authority && !leased && now >= self.abstains_until
     }
 
     fn on_prepare(&mut self, from: &DaemonId, term: Term, now: Instant) {
@@ -277,7 +278,7 @@
         if granted {
             self.promised = term;
             self.role = MemberRole::Member;
-            // A member that has just promised lets the candidate finish.
+            // Delays this member's candidacy so that the candidate can complete its election.
             self.next_candidacy = self.next_candidacy.max(now + self.config.lease / 2);
         }
         let reply = AuthorityMessage::Promise {
@@ -297,7 +298,7 @@
         now: Instant,
     ) {
         let Some(promise) = granted else {
-            // The next candidacy starts above every term heard of.
+            // The next candidacy starts above every term received.
             if matches!(self.role, MemberRole::Candidate(_)) {
                 self.promised = self.promised.max(term);
             }
@@ -315,8 +316,8 @@
     fn count_promises(&mut self, now: Instant) {
         let MemberRole::Candidate(candidacy) = &self.role else { return };
         let informed = candidacy.promises.values().filter(|(recovering, _)| !recovering).count();
-        let everyone = candidacy.promises.len() == self.config.members.len();
-        if informed < self.config.majority() && !everyone {
+        let all_members = candidacy.promises.len() == self.config.members.len();
+        if informed < self.config.majority() && !all_members {
             return;
         }
         let newest = candidacy
@@ -337,7 +338,7 @@
         }
         table.term = term;
         table.version += 1;
-        if !self.keep_table(table) {
+        if !self.store_table(table) {
             return;
         }
         self.role = MemberRole::Holder(Tenure {
@@ -350,8 +351,8 @@
         self.renew(now);
     }
 
-    /// Stores a table here; false where a disk that should keep it failed.
-    fn keep_table(&mut self, table: ZoneTable) -> bool {
+    /// Stores a table locally; returns false if saving it to disk failed.
+    fn store_table(&mut self, table: ZoneTable) -> bool {
         if let Some(store) = &mut self.store
             && !store.save(&table)
         {
@@ -371,7 +372,7 @@
         let version = self.table.as_ref().map(|table| table.version).unwrap_or_default();
         let acks = tenure.acks.clone();
         for member in self.config.members.iter().filter(|member| **member != self.config.id) {
-            let has_table = acks.get(member).is_some_and(|(_, held)| *held >= version);
+            let has_table = acks.get(member).is_some_and(|(_, stored)| *stored >= version);
             let table = if has_table { None } else { self.table.clone() };
             let message = AuthorityMessage::Accept { term, round, table };
             self.outgoing.push((member.clone(), message));
@@ -392,9 +393,9 @@
             self.promised = term;
             self.role = MemberRole::Member;
             if let Some(table) = table {
-                let newer = self.table.as_ref().is_none_or(|own| own.rank() < table.rank());
+                let newer = self.table.as_ref().is_none_or(|known| known.rank() < table.rank());
                 if newer || self.recovering {
-                    granted = self.keep_table(table);
+                    granted = self.store_table(table);
                 }
             }
         }
@@ -425,7 +426,7 @@
         match granted {
             Some((round, version)) if term == self.promised => {
                 let ack = tenure.acks.entry(from.clone()).or_default();
-                // A lower version means that the member lost the table.
+                // A lower version than before means that the member lost the table.
                 *ack = (ack.0.max(round), version);
                 self.extend_lease();
             }
@@ -439,7 +440,7 @@
         }
     }
 
-    /// Extends the holder's lease to what a majority has granted.
+    /// Extends the holder's lease to the time that a majority has granted.
     fn extend_lease(&mut self) {
         let majority = self.config.majority();
         let lease = self.config.lease;
--- a/crates/zone/src/config.rs
+++ b/crates/zone/src/config.rs
@@ -1,13 +1,14 @@
-//! Fixed settings of a member of a zone's authority.
+//! Configuration of a member of a zone's authority.
 
 use std::time::Duration;
 
 use hollowbarrow_schema::{DaemonId, Term, ZoneId};
 
-/// Terms of different members never coincide: the low bits name the member.
-const MEMBERS_PER_TERM: u64 = 64;
+/// Stride between terms. A term modulo this is its member's index, so that terms of different
+/// members never coincide.
+const TERM_STRIDE: u64 = 64;
 
-/// Fixed settings of a member.
+/// Configuration of a member of a zone's authority.
 #[derive(Clone, Debug)]
 pub struct AuthorityConfig {
     pub(crate) id: DaemonId,
@@ -18,7 +19,7 @@
 }
 
 impl AuthorityConfig {
-    /// Creates settings for a daemon and the members of the zone.
+    /// Creates the configuration of a daemon, with the members of the zone's authority.
     pub fn new(id: &DaemonId, zone: &ZoneId, members: &[DaemonId]) -> Self {
         let mut members = members.to_vec();
         members.sort();
@@ -43,19 +44,19 @@
         self
     }
 
-    /// How long a member keeps a promise to a holder: the lease and the margin for drift.
+    /// Returns for how long a member keeps a lease that it granted: the lease plus the drift margin.
     pub fn guarded_lease(&self) -> Duration {
         self.lease + self.lease * u32::try_from(self.drift_permille).unwrap_or(u32::MAX) / 1000
     }
 
-    /// Members that make a majority.
+    /// Number of members that are a majority.
     pub(crate) fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// The next term of this member after another one.
+    /// Returns the term of this member that follows `term`.
     pub(crate) fn term_after(&self, term: Term) -> Term {
-        let own = self.members.iter().position(|id| *id == self.id).unwrap_or_default() as u64;
-        Term((*term / MEMBERS_PER_TERM + 1) * MEMBERS_PER_TERM + own)
+        let index = self.members.iter().position(|id| *id == self.id).unwrap_or_default() as u64;
+        Term((*term / TERM_STRIDE + 1) * TERM_STRIDE + index)
     }
 }
--- a/crates/zone/src/lease.rs
+++ b/crates/zone/src/lease.rs
@@ -1,10 +1,10 @@
-//! Under which leases replicas serve, as one daemon sees it.
+//! Leases under which replicas serve, as known to one daemon.
 //!
-//! A sighting is what a node said of itself and the earliest moment, by this
-//! daemon's own clock, at which it can have said so. A replica may be given a
-//! request only while each member's sighting is younger than the lease and
-//! agrees with the allocation. Nothing here depends on a message arriving: a
-//! daemon that was paused finds its sightings too old when it goes on.
+//! An observation is a node's report of its state, with the earliest time by
+//! this daemon's clock at which the node can have sent it. A replica may be
+//! given a request only while each member's observation is younger than the
+//! lease and agrees with the allocation. Expiry does not depend on a message: a
+//! daemon that was paused finds its observations expired when it resumes.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// What a node said of itself, and when.
+/// State that a node reported of itself, and when.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeObservation {
     /// Start of the node's process.
     pub start: StartId,
-    /// Epoch of the last order that it took.
+    /// Epoch of the last order that the node accepted.
     pub epoch: Epoch,
     /// Its engine's state.
     pub state: NodeState,
-    /// Requests running and queued there.
+    /// Requests running and queued at the node.
     pub load: u32,
-    /// Who gave the last order, where the node names one.
+    /// Sender of the last order, if the node reports one.
     pub owner: Option<String>,
-    /// Weights that the node holds, as `model@version`.
+    /// Weights stored on the node, as `model@version`.
     pub weights: Vec<String>,
-    /// Earliest moment at which it can have said so.
+    /// Earliest time at which the node can have sent the report.
     pub seen: Instant,
 }
 
 /// Why a replica may not be given a request.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ServingRefusal {
-    /// Nothing was ever heard of a member.
-    #[error("node {0} was never seen")]
+    /// No report of a member was ever received.
+    #[error("no report of node {0} was received")]
     Unseen(NodeId),
     /// A member's heartbeat is older than the lease.
-    #[error("node {0} was last seen longer ago than the lease")]
+    #[error("the last report of node {0} is older than the lease")]
     Expired(NodeId),
-    /// A member holds another epoch than the allocation.
+    /// A member reported another epoch than the allocation's.
     #[error("node {node} is at epoch {found}, the replica at {wanted}", found = **found, wanted = **wanted)]
     OtherEpoch {
         /// The member.
@@ -72,17 +72,17 @@
     Draining,
 }
 
-/// Sightings of nodes.
+/// Observations of nodes and replicas.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     lease: Duration,
-    sightings: HashMap<NodeId, NodeObservation>,
-    replicas: HashMap<NodeId, ReplicaSighting>,
+    observations: HashMap<NodeId, NodeObservation>,
+    replicas: HashMap<NodeId, ReplicaObservation>,
 }
 
-/// What another daemon says of a whole replica whose nodes this one does not follow.
+/// Report of another daemon on a replica whose nodes this daemon does not observe itself.
 #[derive(Clone, Debug)]
-struct ReplicaSighting {
+struct ReplicaObservation {
     epoch: Epoch,
     load: u32,
     seen: Instant,
@@ -91,7 +91,7 @@
 impl LeaseTable {
     /// Creates an empty table with the length of a heartbeat's lease.
     pub fn new(lease: Duration) -> Self {
-        Self { lease, sightings: HashMap::new(), replicas: HashMap::new() }
+        Self { lease, observations: HashMap::new(), replicas: HashMap::new() }
     }
 
     /// Length of a heartbeat's lease.
@@ -99,40 +99,40 @@
         self.lease
     }
 
-    /// Latest sighting of a node.
+    /// Latest observation of a node.
     pub fn observation(&self, node: &NodeId) -> Option<&NodeObservation> {
-        self.sightings.get(node)
+        self.observations.get(node)
     }
 
-    /// Number of nodes seen.
+    /// Number of observed nodes.
     pub fn len(&self) -> usize {
-        self.sightings.len()
+        self.observations.len()
     }
 
-    /// Whether no node was seen.
+    /// Whether no node was observed.
     pub fn is_empty(&self) -> bool {
-        self.sightings.is_empty()
+        self.observations.is_empty()
     }
 
-    /// Takes a sighting unless a later one is known.
-    pub fn observe(&mut self, node: &NodeId, sighting: NodeObservation) {
-        let known = self.sightings.get(node);
-        if known.is_some_and(|known| known.seen > sighting.seen) {
+    /// Records an observation unless a later one is known.
+    pub fn observe(&mut self, node: &NodeId, observation: NodeObservation) {
+        let known = self.observations.get(node);
+        if known.is_some_and(|known| known.seen > observation.seen) {
             return;
         }
-        self.sightings.insert(node.clone(), sighting);
+        self.observations.insert(node.clone(), observation);
     }
 
-    /// Takes a node's entry in another daemon's digest.
+    /// Records a node's entry in another daemon's digest.
     ///
-    /// `base` is a moment of this daemon's clock that surely lies before the
-    /// digest left, and `lead` how long before: the other daemon held our
-    /// message for that long. The node cannot have spoken earlier than
-    /// `base + lead - age`.
+    /// `base` is a time of this daemon's clock at which it sent a message that the other daemon
+    /// received before it sent the digest. `lead` is how long the other daemon kept that message
+    /// before it sent the digest. The digest was therefore sent at `base + lead` or later, and the
+    /// node cannot have sent its report earlier than `base + lead - age`.
     pub fn observe_digest(&mut self, digest: &NodeDigest, base: Instant, lead: Duration) {
         let age = Duration::from_millis(u64::from(digest.a));
         let Some(seen) = (base + lead).checked_sub(age) else { return };
-        let sighting = NodeObservation {
+        let observation = NodeObservation {
             start: digest.s,
             epoch: digest.e,
             state: digest.t,
@@ -141,10 +141,10 @@
             weights: digest.w.clone(),
             seen,
         };
-        self.observe(&digest.n, sighting);
+        self.observe(&digest.n, observation);
     }
 
-    /// Takes another daemon's word that all members of a replica are fresh.
+    /// Records another daemon's report that the observations of all members of a replica are recent.
     ///
     /// `base` and `lead` are as for [`LeaseTable::observe_digest`].
     pub fn observe_replica(&mut self, digest: &ReplicaDigest, base: Instant, lead: Duration) {
@@ -152,67 +152,70 @@
         let Some(seen) = (base + lead).checked_sub(age) else { return };
         let known = self.replicas.get(&digest.h);
         if known.is_none_or(|known| (known.epoch, known.seen) < (digest.e, seen)) {
-            let sighting = ReplicaSighting { epoch: digest.e, load: digest.l, seen };
-            self.replicas.insert(digest.h.clone(), sighting);
+            let observation = ReplicaObservation { epoch: digest.e, load: digest.l, seen };
+            self.replicas.insert(digest.h.clone(), observation);
         }
     }
 
-    /// Notes that nothing listened at a node at a moment, which ends leases seen before it.
+    /// Records that no process listened at a node at a given time, which revokes leases from
+    /// observations before it.
     pub fn observe_loss(&mut self, node: &NodeId, at: Instant) {
-        if self.sightings.get(node).is_some_and(|sighting| sighting.seen <= at) {
-            self.sightings.remove(node);
+        if self.observations.get(node).is_some_and(|observation| observation.seen <= at) {
+            self.observations.remove(node);
         }
     }
 
-    /// Until when a node that is no member of a replica may be given requests.
+    /// Returns until when a node that is not a member of a replica may be given requests.
     pub fn node_serving_until(&self, node: &NodeId, now: Instant) -> Option<Instant> {
-        let own = self.sightings.get(node).filter(|s| s.state == NodeState::Ready);
-        let told = self.replicas.get(node).filter(|replica| *replica.epoch == 0);
-        let seen = own.map(|s| s.seen).max(told.map(|replica| replica.seen))?;
+        let observed = self.observations.get(node).filter(|s| s.state == NodeState::Ready);
+        let reported = self.replicas.get(node).filter(|replica| *replica.epoch == 0);
+        let seen = observed.map(|s| s.seen).max(reported.map(|replica| replica.seen))?;
         Some(seen + self.lease).filter(|until| *until > now)
     }
 
-    /// Digest of a node that is no member of a replica, for other daemons.
+    /// Returns the digest, for other daemons, of a node that is not a member of a replica.
     pub fn to_node_digest(&self, node: &NodeId, now: Instant) -> Option<ReplicaDigest> {
-        let sighting = self.sightings.get(node).filter(|s| s.state == NodeState::Ready)?;
-        let age = now.saturating_duration_since(sighting.seen);
+        let observation = self.observations.get(node).filter(|s| s.state == NodeState::Ready)?;
+        let age = now.saturating_duration_since(observation.seen);
         (age < self.lease).then(|| ReplicaDigest {
             h: node.clone(),
             e: Epoch(0),
             a: u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX),
-            l: sighting.load,
+            l: observation.load,
         })
     }
 
-    /// Whether a replica is known to have lost a member, so that what is in flight there is lost.
+    /// Whether a replica is known to have lost a member, so that its requests in flight are lost.
     ///
-    /// A draining replica is not lost, and neither is one whose nodes this daemon does not follow.
+    /// A draining replica is not lost, and neither is one whose nodes this daemon does not observe.
     pub fn is_lost(&self, allocation: &Allocation, now: Instant) -> bool {
-        if self.replica_until(allocation, now).is_some() {
+        if self.replica_valid_until(allocation, now).is_some() {
             return false;
         }
         allocation.members.iter().zip(&allocation.starts).any(|(member, start)| {
-            self.sightings.get(member).is_some_and(|sighting| {
-                sighting.start != *start
-                    || sighting.epoch != allocation.epoch
-                    || sighting.seen + self.lease <= now
+            self.observations.get(member).is_some_and(|observation| {
+                observation.start != *start
+                    || observation.epoch != allocation.epoch
+                    || observation.seen + self.lease <= now
             })
         })
     }
 
-    /// Load of a replica's head and the earliest moment at which it can have said so.
+    /// Returns the load of a replica's head and the earliest time at which the head can have reported
+    /// it.
     pub fn load(&self, allocation: &Allocation) -> Option<(u32, Instant)> {
         let head = allocation.head();
-        let own = self.sightings.get(head).map(|sighting| (sighting.load, sighting.seen));
-        let told = self.replicas.get(head).map(|replica| (replica.load, replica.seen));
-        [own, told].into_iter().flatten().max_by_key(|(_, seen)| *seen)
+        let observed =
+            self.observations.get(head).map(|observation| (observation.load, observation.seen));
+        let reported = self.replicas.get(head).map(|replica| (replica.load, replica.seen));
+        [observed, reported].into_iter().flatten().max_by_key(|(_, seen)| *seen)
     }
 
-    /// Until when a replica may be given requests.
+    /// Returns until when a replica may be given requests.
     ///
     /// # Errors
     ///
-    /// Says which member stands against it, and why.
+    /// Names the member, or the phase, that prevents it.
     pub fn serving_until(
         &self,
         allocation: &Allocation,
@@ -224,59 +227,59 @@
         if allocation.starts.len() != allocation.members.len() {
             return Err(ServingRefusal::Loading);
         }
-        match self.members_until(allocation, now) {
+        match self.members_valid_until(allocation, now) {
             Ok(until) => Ok(until),
-            Err(refusal) => self.replica_until(allocation, now).ok_or(refusal),
+            Err(refusal) => self.replica_valid_until(allocation, now).ok_or(refusal),
         }
     }
 
-    fn replica_until(&self, allocation: &Allocation, now: Instant) -> Option<Instant> {
+    fn replica_valid_until(&self, allocation: &Allocation, now: Instant) -> Option<Instant> {
         let replica = self.replicas.get(allocation.head())?;
         let until = replica.seen + self.lease;
         (replica.epoch == allocation.epoch && until > now).then_some(until)
     }
 
-    fn members_until(
+    fn members_valid_until(
         &self,
         allocation: &Allocation,
         now: Instant,
     ) -> Result<Instant, ServingRefusal> {
         let mut until = None;
         for (member, start) in allocation.members.iter().zip(&allocation.starts) {
-            let expires = self.member_until(member, allocation.epoch, *start, now)?;
+            let expires = self.member_valid_until(member, allocation.epoch, *start, now)?;
             until = Some(until.map_or(expires, |until: Instant| until.min(expires)));
         }
         Ok(until.unwrap_or(now))
     }
 
-    fn member_until(
+    fn member_valid_until(
         &self,
         member: &NodeId,
         epoch: Epoch,
         start: StartId,
         now: Instant,
     ) -> Result<Instant, ServingRefusal> {
-        let sighting =
-            self.sightings.get(member).ok_or_else(|| ServingRefusal::Unseen(member.clone()))?;
-        let expires = sighting.seen + self.lease;
+        let observation =
+            self.observations.get(member).ok_or_else(|| ServingRefusal::Unseen(member.clone()))?;
+        let expires = observation.seen + self.lease;
         if expires <= now {
             return Err(ServingRefusal::Expired(member.clone()));
         }
-        if sighting.epoch != epoch {
-            let (found, wanted) = (sighting.epoch, epoch);
+        if observation.epoch != epoch {
+            let (found, wanted) = (observation.epoch, epoch);
             return Err(ServingRefusal::OtherEpoch { node: member.clone(), found, wanted });
         }
-        if sighting.state != NodeState::Ready {
-            let state = sighting.state;
+        if observation.state != NodeState::Ready {
+            let state = observation.state;
             return Err(ServingRefusal::NotReady { node: member.clone(), state });
         }
-        if sighting.start != start {
+        if observation.start != start {
             return Err(ServingRefusal::Restarted(member.clone()));
         }
         Ok(expires)
     }
 
-    /// Digests of the given nodes, for other daemons.
+    /// Returns digests of the given nodes, for other daemons.
     pub fn to_digests<'a>(
         &self,
         nodes: impl Iterator<Item = &'a NodeId>,
@@ -284,23 +287,23 @@
     ) -> Vec<NodeDigest> {
         nodes
             .filter_map(|node| {
-                let sighting = self.sightings.get(node)?;
-                let age = now.saturating_duration_since(sighting.seen);
+                let observation = self.observations.get(node)?;
+                let age = now.saturating_duration_since(observation.seen);
                 (age < self.lease).then(|| NodeDigest {
                     n: node.clone(),
-                    s: sighting.start,
-                    e: sighting.epoch,
-                    t: sighting.state,
+                    s: observation.start,
+                    e: observation.epoch,
+                    t: observation.state,
                     a: u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX),
-                    l: sighting.load,
-                    o: sighting.owner.clone(),
-                    w: sighting.weights.clone(),
+                    l: observation.load,
+                    o: observation.owner.clone(),
+                    w: observation.weights.clone(),
                 })
             })
             .collect()
     }
 
-    /// Digests of the replicas whose members are all fresh, for other daemons.
+    /// Returns digests, for other daemons, of the replicas whose members' leases are all valid.
     pub fn to_replica_digests<'a>(
         &self,
         allocations: impl Iterator<Item = &'a Allocation>,
@@ -308,21 +311,21 @@
     ) -> Vec<ReplicaDigest> {
         allocations
             .filter_map(|allocation| {
-                let until = self.members_until(allocation, now).ok()?;
+                let until = self.members_valid_until(allocation, now).ok()?;
                 let age = self.lease.saturating_sub(until.saturating_duration_since(now));
                 Some(ReplicaDigest {
                     h: allocation.head().clone(),
                     e: allocation.epoch,
                     a: u32::try_from(age.as_millis() + 1).unwrap_or(u32::MAX),
-                    l: self.sightings.get(allocation.head())?.load,
+                    l: self.observations.get(allocation.head())?.load,
                 })
             })
             .collect()
     }
 
-    /// Forgets nodes that are no longer listed anywhere.
+    /// Removes the nodes and replicas whose node `keep` does not accept.
     pub fn retain(&mut self, keep: impl Fn(&NodeId) -> bool) {
-        self.sightings.retain(|node, _| keep(node));
+        self.observations.retain(|node, _| keep(node));
         self.replicas.retain(|head, _| keep(head));
     }
 }
--- a/crates/zone/src/lib.rs
+++ b/crates/zone/src/lib.rs
@@ -1,17 +1,18 @@
 //! Authority over one availability zone, and the leases under which groups serve.
 //!
-//! One daemon of a zone at a time is the zone's authority: it alone gives
-//! orders to the zone's nodes. The daemons of the zone choose it among
-//! themselves with [`AuthorityMember`], so that a zone which is cut off from
-//! all others can go on repairing its groups. Who may take requests is decided
-//! by [`LeaseTable`] on every daemon, from what the nodes say of themselves.
+//! One daemon of a zone at a time holds the zone's authority: it alone gives
+//! orders to the zone's nodes. The daemons of the zone elect it among
+//! themselves with [`AuthorityMember`], so that a zone that is partitioned from
+//! all others can continue to repair its groups. [`LeaseTable`] decides on every
+//! daemon which replicas may take requests, from the reports of the nodes.
 //!
 //! Invariants:
 //!
 //! - At most one daemon holds the authority of a zone at any moment.
 //! - The zone's table is replicated to a majority before an order follows from it.
-//! - A replica serves only while every member's heartbeat is fresh, names the
-//!   allocation's epoch and comes from the same start of the process.
+//! - A replica serves only while every member's heartbeat is younger than the
+//!   lease, names the allocation's epoch and comes from the same start of the
+//!   process.
 
 mod authority;
 mod config;
--- a/crates/zone/src/lifecycle.rs
+++ b/crates/zone/src/lifecycle.rs
@@ -1,15 +1,15 @@
-//! The life cycle of one replica, as its zone's authority walks it.
+//! Lifecycle of one replica, driven by its zone's authority.
 //!
-//! Each state is a type of its own, so that a step which the life cycle does
-//! not have cannot be written down: only a replica that is [`Ready`] can begin
-//! to serve, and only one that has drained or failed is released.
+//! Each state is a type of its own, so that an invalid transition does not
+//! compile: only a replica that is [`Ready`] can begin to serve, and only one
+//! that has drained or failed is released.
 
 use std::marker::PhantomData;
 
 use hollowbarrow_schema::{Allocation, Epoch};
 use tokio::time::Instant;
 
-/// A state of the life cycle.
+/// A state of the lifecycle.
 pub trait LifecycleState {
     /// Name of the state in logs and status.
     const NAME: &'static str;
@@ -28,23 +28,23 @@
 }
 
 states! {
-    /// Chosen, but not yet known to a majority of the zone's daemons.
+    /// Planned, but not yet stored by a majority of the zone's daemons.
     Forming => "forming";
     /// Ordered to load.
     Loading => "loading";
-    /// Every member says that it has loaded.
+    /// Every member reports that it has loaded.
     Ready => "ready";
     /// Taking requests.
     Serving => "serving";
-    /// Taking no new requests; those in flight end.
+    /// Taking no new requests; those in flight complete.
     Draining => "draining";
     /// Its nodes are free.
     Released => "released";
-    /// Lost a member or did not load in time.
+    /// Lost a member or did not load within the time limit.
     Failed => "failed";
 }
 
-/// A replica in one state of its life.
+/// A replica in one state of its lifecycle.
 #[derive(Clone, Debug)]
 pub struct ReplicaLifecycle<S> {
     epoch: Epoch,
@@ -72,54 +72,55 @@
         S::NAME
     }
 
-    /// A member was lost, or loading took too long.
+    /// Records that a member was lost, or that loading took too long.
     pub fn fail(self, now: Instant) -> ReplicaLifecycle<Failed> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Forming> {
-    /// Starts the life of a replica that the authority has chosen.
+    /// Creates the lifecycle of a replica that the authority has planned.
     pub fn new(allocation: &Allocation, now: Instant) -> Self {
         Self { epoch: allocation.epoch, entered: now, state: PhantomData }
     }
 
-    /// A majority of the zone's daemons knows the replica; its members get their orders.
+    /// Records that a majority of the zone's daemons has stored the replica; its members get their
+    /// orders.
     pub fn order_loading(self, now: Instant) -> ReplicaLifecycle<Loading> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Loading> {
-    /// Every member has loaded under the replica's epoch.
+    /// Records that every member has loaded under the replica's epoch.
     pub fn finish_loading(self, now: Instant) -> ReplicaLifecycle<Ready> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Ready> {
-    /// The members' heartbeats are fresh.
+    /// Records that the members' heartbeats are younger than the lease.
     pub fn begin_serving(self, now: Instant) -> ReplicaLifecycle<Serving> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Serving> {
-    /// The replica is to give up its nodes.
+    /// Records that the replica is to give up its nodes.
     pub fn begin_draining(self, now: Instant) -> ReplicaLifecycle<Draining> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Draining> {
-    /// Nothing is in flight any more, or the limit has passed.
+    /// Records that no request is in flight any more, or that the time limit has passed.
     pub fn release(self, now: Instant) -> ReplicaLifecycle<Released> {
         self.enter(now)
     }
 }
 
 impl ReplicaLifecycle<Failed> {
-    /// The members that are left are free.
+    /// Records that the remaining members are free.
     pub fn release(self, now: Instant) -> ReplicaLifecycle<Released> {
         self.enter(now)
     }
--- a/crates/zone/src/observers.rs
+++ b/crates/zone/src/observers.rs
@@ -1,4 +1,4 @@
-//! Which daemons take part in a zone's authority, and which observe a node.
+//! Selection of the daemons that take part in a zone's authority, and of those that observe a node.
 
 use hollowbarrow_schema::{DaemonId, NodeId, PeerSettings, ZoneId};
 
@@ -7,16 +7,17 @@
 /// Most members of a zone's authority; more would only add messages.
 const MAX_MEMBERS: usize = 5;
 
-/// Members of a zone's authority: its first daemons by name, made odd by a witness.
+/// Returns the members of a zone's authority: daemons of the zone, those set aside for control first,
+/// then voters, then by name. A witness makes an even number odd.
 ///
-/// A zone with an even number of daemons would stand still when half of them
-/// are lost, so one of another zone's voters joins them; a zone that is cut
-/// off still has its majority.
+/// A zone with an even number of daemons would have no majority after the loss of half of them, so
+/// a voter of another zone joins them as a witness. A zone that is partitioned still has its
+/// majority.
 pub fn zone_members(zone: &ZoneId, peers: &[PeerSettings]) -> Vec<DaemonId> {
-    let mut own: Vec<&PeerSettings> = peers.iter().filter(|peer| peer.zone == *zone).collect();
-    own.sort_by(|a, b| (!a.control, !a.voter, &a.id).cmp(&(!b.control, !b.voter, &b.id)));
-    own.truncate(MAX_MEMBERS);
-    let mut members: Vec<DaemonId> = own.iter().map(|peer| peer.id.clone()).collect();
+    let mut local: Vec<&PeerSettings> = peers.iter().filter(|peer| peer.zone == *zone).collect();
+    local.sort_by(|a, b| (!a.control, !a.voter, &a.id).cmp(&(!b.control, !b.voter, &b.id)));
+    local.truncate(MAX_MEMBERS);
+    let mut members: Vec<DaemonId> = local.iter().map(|peer| peer.id.clone()).collect();
     if members.len().is_multiple_of(2) {
         let mut others: Vec<&PeerSettings> = peers.iter().filter(|p| p.zone != *zone).collect();
         others.sort_by_key(|peer| (!peer.voter, &peer.zone <= zone, &peer.zone, &peer.id));
@@ -26,7 +27,7 @@
     members
 }
 
-/// Members of a zone's authority that belong to the zone, without a witness of another.
+/// Returns the members of a zone's authority that belong to the zone, without the witness.
 pub fn members_without_witness<'a>(
     zone: &ZoneId,
     peers: &'a [PeerSettings],
@@ -35,21 +36,23 @@
     peers.iter().filter(|peer| peer.zone == *zone && members.contains(&peer.id)).collect()
 }
 
-/// Members that observe a zone's nodes: those set aside for control, if any of them is there.
+/// Returns the members that observe a zone's nodes: those set aside for control if any of them is
+/// available, else all available ones.
 pub fn observing_members<'a>(
     zone: &ZoneId,
     peers: &'a [PeerSettings],
-    is_there: impl Fn(&DaemonId) -> bool,
+    is_available: impl Fn(&DaemonId) -> bool,
 ) -> Vec<&'a DaemonId> {
-    let there: Vec<&PeerSettings> = members_without_witness(zone, peers)
+    let available: Vec<&PeerSettings> = members_without_witness(zone, peers)
         .into_iter()
-        .filter(|peer| is_there(&peer.id))
+        .filter(|peer| is_available(&peer.id))
         .collect();
-    let control = there.iter().any(|peer| peer.control);
-    there.into_iter().filter(|peer| !control || peer.control).map(|peer| &peer.id).collect()
+    let control = available.iter().any(|peer| peer.control);
+    available.into_iter().filter(|peer| !control || peer.control).map(|peer| &peer.id).collect()
 }
 
-/// Daemons that probe a node, chosen by the highest hash so that few change with the daemons.
+/// Returns the daemons that probe a node, by rendezvous hashing, so that few assignments change when
+/// the set of daemons changes.
 pub fn choose_observers<'a>(node: &NodeId, daemons: &[&'a DaemonId]) -> Vec<&'a DaemonId> {
     let mut ranked: Vec<(u64, &DaemonId)> =
         daemons.iter().map(|daemon| (hash_pair(node, daemon), *daemon)).collect();
--- a/crates/zone/src/stages.rs
+++ b/crates/zone/src/stages.rs
@@ -1,4 +1,4 @@
-//! Where each replica of a zone is in its life, as the zone's authority follows it.
+//! Lifecycle stage of each replica of a zone, as the zone's authority tracks it.
 //!
 //! Invariant: the time at which a replica entered its stage is kept for as long as this daemon
 //! holds the authority and the replica keeps its epoch.
@@ -12,31 +12,32 @@
 use crate::authority::TableStanding;
 use crate::lifecycle::{Draining, Forming, Loading, ReplicaLifecycle, Serving};
 
-/// Name of one replica within a zone.
+/// Group and slot that identify a replica within a zone.
 pub type ReplicaName = (GroupName, u32);
 
-/// Where a replica is in its life.
+/// Lifecycle stage of a replica.
 #[derive(Clone, Debug)]
 pub enum ReplicaStage {
-    /// Its members load.
+    /// The members load.
     Loading(ReplicaLifecycle<Loading>),
-    /// It takes requests.
+    /// The replica takes requests.
     Serving(ReplicaLifecycle<Serving>),
-    /// It takes no new requests.
+    /// The replica takes no new requests.
     Draining(ReplicaLifecycle<Draining>),
 }
 
 impl ReplicaStage {
     fn epoch(&self) -> Epoch {
         match self {
-            Self::Loading(life) => life.epoch(),
-            Self::Serving(life) => life.epoch(),
-            Self::Draining(life) => life.epoch(),
+            Self::Loading(lifecycle) => lifecycle.epoch(),
+            Self::Serving(lifecycle) => lifecycle.epoch(),
+            Self::Draining(lifecycle) => lifecycle.epoch(),
         }
     }
 
-    /// Stage of a replica that is seen for the first time, as after a hand-over.
-    fn first(allocation: &Allocation, now: Instant) -> Self {
+    /// Returns the stage of a replica that is not tracked yet, such as after a handover of the
+    /// authority.
+    fn initial(allocation: &Allocation, now: Instant) -> Self {
         let loading = ReplicaLifecycle::<Forming>::new(allocation, now).order_loading(now);
         if allocation.starts.is_empty() && allocation.phase == AllocationPhase::Active {
             return Self::Loading(loading);
@@ -52,7 +53,7 @@
 /// A replica whose members have all loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedReplica {
-    /// Group and number.
+    /// Group and slot.
     pub name: ReplicaName,
     /// Epoch of its orders.
     pub epoch: Epoch,
@@ -67,17 +68,17 @@
 }
 
 impl ReplicaStages {
-    /// Stage of a replica, if it is in the table.
+    /// Returns the stage of a replica, if it is in the table.
     pub fn get(&self, name: &ReplicaName) -> Option<&ReplicaStage> {
         self.stages.get(name)
     }
 
-    /// Brings the stages in line with the zone's table; returns the replicas that now serve.
+    /// Updates the stages from the zone's table; returns the replicas that have just begun to serve.
     pub fn sync(&mut self, standing: TableStanding<'_>, now: Instant) -> Vec<LoadedReplica> {
         match standing {
-            TableStanding::Settled(table) => self.take_table(table, now),
-            // A change under way says nothing of the replicas that it does not touch. Forgotten
-            // here, a drain would never reach its limit while changes follow each other.
+            TableStanding::Settled(table) => self.apply_table(table, now),
+            // The stages are kept while a change is not settled. If they were cleared, a drain would
+            // never reach its time limit while changes follow one another.
             TableStanding::Unsettled => Vec::new(),
             TableStanding::NotHeld => {
                 self.stages.clear();
@@ -86,7 +87,7 @@
         }
     }
 
-    fn take_table(&mut self, table: &ZoneTable, now: Instant) -> Vec<LoadedReplica> {
+    fn apply_table(&mut self, table: &ZoneTable, now: Instant) -> Vec<LoadedReplica> {
         let mut former = std::mem::take(&mut self.stages);
         let mut loaded = Vec::new();
         for allocation in &table.allocations {
@@ -95,19 +96,19 @@
             let ready = !allocation.starts.is_empty();
             let draining = allocation.phase == AllocationPhase::Draining;
             let stage = match known {
-                Some(ReplicaStage::Loading(life)) if ready => {
+                Some(ReplicaStage::Loading(lifecycle)) if ready => {
                     loaded.push(LoadedReplica {
                         name: name.clone(),
                         epoch: allocation.epoch,
-                        elapsed: now.saturating_duration_since(life.entered()),
+                        elapsed: now.saturating_duration_since(lifecycle.entered()),
                     });
-                    ReplicaStage::Serving(life.finish_loading(now).begin_serving(now))
+                    ReplicaStage::Serving(lifecycle.finish_loading(now).begin_serving(now))
                 }
-                Some(ReplicaStage::Serving(life)) if draining => {
-                    ReplicaStage::Draining(life.begin_draining(now))
+                Some(ReplicaStage::Serving(lifecycle)) if draining => {
+                    ReplicaStage::Draining(lifecycle.begin_draining(now))
                 }
                 Some(stage) => stage,
-                None => ReplicaStage::first(allocation, now),
+                None => ReplicaStage::initial(allocation, now),
             };
             self.stages.insert(name, stage);
         }
--- a/crates/zone/tests/authority.rs
+++ b/crates/zone/tests/authority.rs
@@ -1,4 +1,4 @@
-//! A zone's authority under random faults: never two at once, and no table is lost.
+//! A zone's authority under random faults: never two holders at once, and no settled table is lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const DRIFT_PERMILLE: u64 = 50;
 
 struct Zone {
-    begun: Instant,
-    /// True time since the beginning, in microseconds.
+    started: Instant,
+    /// Simulated true time since the start, in microseconds.
     true_us: u64,
     /// Speed of each member's clock, in millionths of true time.
     speeds: BTreeMap<DaemonId, u64>,
@@ -24,8 +24,8 @@
     ids: Vec<DaemonId>,
     members: BTreeMap<DaemonId, AuthorityMember>,
     network: Vec<(DaemonId, DaemonId, AuthorityMessage)>,
-    cut: BTreeSet<(DaemonId, DaemonId)>,
-    /// Epochs of tables that were settled, so that orders may have followed.
+    partitioned: BTreeSet<(DaemonId, DaemonId)>,
+    /// Highest epoch of a settled table, under which orders may have been sent.
     settled: Epoch,
     settled_terms: BTreeMap<u64, Epoch>,
 }
@@ -38,14 +38,14 @@
         let speeds =
             ids.iter().map(|id| (id.clone(), rng.random_range(980_000..1_020_000))).collect();
         let mut zone = Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             true_us: 0,
             speeds,
             rng,
             ids: ids.clone(),
             members: BTreeMap::new(),
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             settled: Epoch(0),
             settled_terms: BTreeMap::new(),
         };
@@ -56,7 +56,7 @@
     }
 
     fn now(&self, id: &DaemonId) -> Instant {
-        self.begun + Duration::from_micros(self.true_us * self.speeds[id] / 1_000_000)
+        self.started + Duration::from_micros(self.true_us * self.speeds[id] / 1_000_000)
     }
 
     fn start(&mut self, id: &DaemonId) {
@@ -83,14 +83,15 @@
         result
     }
 
-    /// At every moment at most one member holds, and what was settled is still known to it.
+    /// Checks that at most one member holds the authority and that its settled table has not lost an
+    /// epoch that was settled before.
     fn check(&mut self) {
         let holders: Vec<&DaemonId> = self
             .ids
             .iter()
             .filter(|id| self.members[*id].remaining(self.now(id)).is_some())
             .collect();
-        assert!(holders.len() <= 1, "two hold the authority: {holders:?}");
+        assert!(holders.len() <= 1, "more than one member holds the authority: {holders:?}");
         for id in self.ids.clone() {
             let now = self.now(&id);
             let member = &self.members[&id];
@@ -126,20 +127,20 @@
             }
             93..95 => {
                 let other = self.ids[self.rng.random_range(0..self.ids.len())].clone();
-                self.cut.insert((id, other));
+                self.partitioned.insert((id, other));
             }
-            95..97 => self.cut.clear(),
+            95..97 => self.partitioned.clear(),
             97 if restarts => self.restart(&id),
-            // A pause: time goes on for all, and this member notices only later.
+            // A pause: time passes while no member acts.
             98 => self.true_us += self.rng.random_range(0..2_000_000),
             _ => {}
         }
         self.check();
     }
 
-    /// Restarts a member unless others have not yet recovered, which is the stated limit.
+    /// Restarts a member unless another one has not recovered yet: the protocol does not tolerate that.
     ///
-    /// Connections belong to processes, so what was on its way to or from it is gone.
+    /// Connections end with the process, so messages in flight to or from the member are lost.
     fn restart(&mut self, id: &DaemonId) {
         let uninformed = self.ids.iter().filter(|id| self.members[*id].table().is_none()).count();
         if uninformed == 0 && self.ids.len() > 1 {
@@ -158,14 +159,14 @@
         } else {
             self.network.remove(position)
         };
-        if self.rng.random_bool(0.05) || self.cut.contains(&(from.clone(), to.clone())) {
+        if self.rng.random_bool(0.05) || self.partitioned.contains(&(from.clone(), to.clone())) {
             return;
         }
         self.with(&to, |member, now| member.step(&from, message, now));
     }
 
     fn heal(&mut self) -> Option<DaemonId> {
-        self.cut.clear();
+        self.partitioned.clear();
         for _ in 0..1500 {
             self.true_us += 10_000;
             for id in self.ids.clone() {
@@ -202,14 +203,14 @@
     assert!(zone.heal().is_some());
 }
 
-/// The holder is cut off: it must know that its lease is over before another one holds.
+/// The holder is partitioned: its lease must expire before another member holds the authority.
 #[rstest]
-fn hold_cut_off_holder() {
+fn hold_partitioned_holder() {
     let mut zone = Zone::new(3, 5);
     let holder = zone.heal().expect("a healed zone has an authority");
     for id in zone.ids.clone() {
-        zone.cut.insert((holder.clone(), id.clone()));
-        zone.cut.insert((id, holder.clone()));
+        zone.partitioned.insert((holder.clone(), id.clone()));
+        zone.partitioned.insert((id, holder.clone()));
     }
     let mut successor = None;
     for _ in 0..2000 {
@@ -221,8 +222,8 @@
             zone.deliver();
         }
         successor = successor.or_else(|| {
-            let held = |id: &&DaemonId| zone.members[*id].settled_table(zone.now(id)).is_some();
-            zone.ids.iter().filter(|id| **id != holder).find(held).cloned()
+            let settled = |id: &&DaemonId| zone.members[*id].settled_table(zone.now(id)).is_some();
+            zone.ids.iter().filter(|id| **id != holder).find(settled).cloned()
         });
     }
     assert!(successor.is_some(), "no other member took over");
--- a/crates/zone/tests/lease.rs
+++ b/crates/zone/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Serving leases against a naive rule over everything that was ever said.
+//! Serving leases, checked against a reference implementation over all reports ever sent.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-fn sighting(start: u64, epoch: u64, ready: bool, seen: Instant) -> NodeObservation {
+fn observation(start: u64, epoch: u64, ready: bool, seen: Instant) -> NodeObservation {
     NodeObservation {
         start: StartId(start),
         epoch: Epoch(epoch),
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Said {
+struct Report {
     node: u8,
     start: u64,
     epoch: u64,
@@ -54,66 +54,67 @@
     at_ms: u64,
 }
 
-fn said() -> impl Strategy<Value = Said> {
+fn any_report() -> impl Strategy<Value = Report> {
     (0u8..3, 1u64..3, 5u64..7, prop::bool::weighted(0.8), 0u64..3000)
-        .prop_map(|(node, start, epoch, ready, at_ms)| Said { node, start, epoch, ready, at_ms })
+        .prop_map(|(node, start, epoch, ready, at_ms)| Report { node, start, epoch, ready, at_ms })
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Words come in any order. The naive rule: a replica serves exactly while the latest word of
-    /// every member is ready, of its epoch and start, and younger than the lease.
+    /// Reports arrive in any order. Reference: a replica serves exactly while the latest report of
+    /// every member is ready, has the replica's epoch and start, and is younger than the lease.
     #[test]
-    fn serve_naive(words in prop::collection::vec(said(), 0..14), now_ms in 0u64..4500) {
-        let begun = Instant::now();
-        let at = |ms| begun + Duration::from_millis(ms);
+    fn serve_reference(reports in prop::collection::vec(any_report(), 0..14), now_ms in 0u64..4500) {
+        let started = Instant::now();
+        let at = |ms| started + Duration::from_millis(ms);
         let mut table = LeaseTable::new(LEASE);
-        for word in &words {
-            table.observe(&node(word.node), sighting(word.start, word.epoch, word.ready, at(word.at_ms)));
+        for report in &reports {
+            table.observe(&node(report.node), observation(report.start, report.epoch, report.ready, at(report.at_ms)));
         }
-        let naive = (0..3u8).all(|member| {
-            // Among words of one moment the one that came last counts.
-            let latest = words.iter().filter(|word| word.node == member).max_by_key(|word| word.at_ms);
-            latest.is_some_and(|word| {
-                word.ready && word.epoch == 5 && word.start == 1 && now_ms < word.at_ms + 1000
+        let reference = (0..3u8).all(|member| {
+            // Of several reports with one time the last received counts.
+            let latest = reports.iter().filter(|report| report.node == member).max_by_key(|report| report.at_ms);
+            latest.is_some_and(|report| {
+                report.ready && report.epoch == 5 && report.start == 1 && now_ms < report.at_ms + 1000
             })
         });
         let served = table.serving_until(&allocation(3, 5), at(now_ms));
-        prop_assert_eq!(served.is_ok(), naive, "{:?}", served);
+        prop_assert_eq!(served.is_ok(), reference, "{:?}", served);
     }
 
-    /// However long messages take and however the daemons' clocks stand, a sighting taken from a
-    /// digest never seems younger than it is.
+    /// An observation from a digest never appears younger than it is, however long messages take and
+    /// whatever the offset of the daemons' clocks is.
     #[test]
     fn digest_never_too_young(
         stamp_ms in 0u64..1000, there_ms in 0u64..2000, seen_before_ms in 0u64..3000,
         held_ms in 0u64..2000,
     ) {
-        // True times, all on one clock: our stamp left, arrived, the node spoke, the digest left.
-        let begun = Instant::now() + Duration::from_secs(10);
-        let at = |ms: u64| begun + Duration::from_millis(ms);
+        // Times on one clock: this daemon's stamp was sent and arrived, the node sent its report, the
+        // digest was sent.
+        let started = Instant::now() + Duration::from_secs(10);
+        let at = |ms: u64| started + Duration::from_millis(ms);
         let arrived = stamp_ms + there_ms;
-        let left = arrived + held_ms;
+        let sent = arrived + held_ms;
         let age_ms = u32::try_from(seen_before_ms).expect("small") + 1;
-        let spoke = at(left) - Duration::from_millis(seen_before_ms);
+        let reported = at(sent) - Duration::from_millis(seen_before_ms);
         let digest = NodeDigest {
             n: node(0), s: StartId(1), e: Epoch(5), t: NodeState::Ready, a: age_ms, l: 0, o: None,
             w: Vec::new(),
         };
         let mut table = LeaseTable::new(LEASE);
         table.observe_digest(&digest, at(stamp_ms), Duration::from_millis(held_ms));
-        let seen = table.observation(&node(0)).map(|sighting| sighting.seen);
-        prop_assert!(seen.is_some_and(|seen| seen <= spoke), "it seems younger than it is");
+        let seen = table.observation(&node(0)).map(|observation| observation.seen);
+        prop_assert!(seen.is_some_and(|seen| seen <= reported), "the observation appears younger than it is");
     }
 }
 
-/// A daemon that was paused longer than the lease finds that out before it sends.
+/// A daemon that was paused for longer than the lease detects the expiry before it sends a request.
 #[rstest]
 fn serve_after_pause() {
     let now = Instant::now();
     let mut table = LeaseTable::new(LEASE);
-    table.observe(&node(0), sighting(1, 5, true, now));
+    table.observe(&node(0), observation(1, 5, true, now));
     assert!(table.serving_until(&allocation(1, 5), now).is_ok());
     let later = now + LEASE;
     let refusal = table.serving_until(&allocation(1, 5), later);
@@ -133,7 +134,7 @@
 ) {
     let now = Instant::now();
     let mut table = LeaseTable::new(LEASE);
-    table.observe(&node(0), sighting(start, epoch, ready, now));
+    table.observe(&node(0), observation(start, epoch, ready, now));
     assert_eq!(table.serving_until(&allocation(1, 5), now), Err(refusal));
 }
 
@@ -141,8 +142,8 @@
 fn refuse_draining_without_loss() {
     let now = Instant::now();
     let mut table = LeaseTable::new(LEASE);
-    table.observe(&node(0), sighting(1, 5, true, now));
+    table.observe(&node(0), observation(1, 5, true, now));
     let draining = Allocation { phase: AllocationPhase::Draining, ..allocation(1, 5) };
     assert_eq!(table.serving_until(&draining, now), Err(ServingRefusal::Draining));
-    assert!(!table.is_lost(&draining, now), "what is in flight there goes on");
+    assert!(!table.is_lost(&draining, now), "requests in flight at a draining replica continue");
 }
--- a/crates/zone/tests/stages.rs
+++ b/crates/zone/tests/stages.rs
@@ -1,9 +1,10 @@
-//! For how long a replica has been in its stage, while the zone's table changes.
+//! How long a replica has been in its stage, while the zone's table changes.
 //!
-//! Each change of the table needs a majority of the zone's daemons before it is settled. Where that
-//! took longer than the authority's pause between two steps (50 ms), all stages were forgotten and
-//! began anew, those of replicas which the change did not touch too. Under changes that follow each
-//! other, a drain then never reached its limit, and a load that hangs was never given up.
+//! Guards against stages that restart at each change of the table. A change is settled once a
+//! majority of the zone's daemons has stored it. If that took longer than the authority's step
+//! interval (50 ms), the stages of all replicas were cleared, even of those that the change did not
+//! touch. While changes followed one another, a drain never reached its time limit, and a load that
+//! hung was never aborted.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Pause between two looks at the table.
+/// Time between two reads of the table.
 const STEP: Duration = Duration::from_millis(50);
 
 fn table(version: u64, epoch: u64, phase: AllocationPhase) -> ZoneTable {
@@ -38,14 +39,15 @@
 }
 
 fn entered(stages: &ReplicaStages) -> Instant {
-    match stages.get(&("chat".into(), 0)).expect("the replica is there") {
-        ReplicaStage::Loading(life) => life.entered(),
-        ReplicaStage::Serving(life) => life.entered(),
-        ReplicaStage::Draining(life) => life.entered(),
+    match stages.get(&("chat".into(), 0)).expect("the replica is in the table") {
+        ReplicaStage::Loading(lifecycle) => lifecycle.entered(),
+        ReplicaStage::Serving(lifecycle) => lifecycle.entered(),
+        ReplicaStage::Draining(lifecycle) => lifecycle.entered(),
     }
 }
 
-/// The table of another group's replicas changes ten times, and is seen before it is settled.
+/// The table changes ten times, for other groups' replicas, and is read before each change is
+/// settled.
 #[rstest]
 #[case::drain(AllocationPhase::Draining)]
 #[case::load(AllocationPhase::Active)]
@@ -59,13 +61,13 @@
         let changed = table(u64::from(change) + 1, 1, phase);
         stages.sync(TableStanding::Settled(&changed), now + STEP);
     }
-    assert_eq!(entered(&stages), start, "it is in the same stage as before");
+    assert_eq!(entered(&stages), start, "the replica keeps the time at which it entered its stage");
 }
 
 #[rstest]
 #[case::authority_lost(TableStanding::NotHeld, 1)]
 #[case::formed_anew(TableStanding::Unsettled, 2)]
-fn sync_forgets(#[case] between: TableStanding<'static>, #[case] epoch: u64) {
+fn sync_resets_stage(#[case] between: TableStanding<'static>, #[case] epoch: u64) {
     let start = Instant::now();
     let mut stages = ReplicaStages::default();
     stages.sync(TableStanding::Settled(&table(1, 1, AllocationPhase::Draining)), start);
