--- a/crates/controller/src/certainty.rs
+++ b/crates/controller/src/certainty.rs
@@ -20,7 +20,7 @@
     /// Unknown yet: the configuration held may be older than the one in force, and is not sent.
     #[default]
     Nothing,
-    /// The controller held everything acknowledged up to [`LEADERLESS_TIMEOUT`] ago.
+    /// The controller holds everything that was acknowledged until at most `LEADERLESS_TIMEOUT` ago.
     Complete,
     /// The controller could not confirm for too long that its log is complete. It sends what it
     /// holds, but later than controllers that could.
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -165,7 +165,7 @@
 
     /// Released requests to include in the next view for gateways.
     pub(crate) fn released(&mut self, now: Instant) -> Vec<HeldRequest> {
-        self.released.to_publish(now)
+        self.released.for_view(now)
     }
 
     /// Records of crashes to send to the leader now.
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -32,7 +32,7 @@
 /// Heartbeats for which a new instance must continue to register before the old one counts as
 /// terminated.
 const SUCCESSOR_BEATS: f64 = 2.0;
-/// Time after its last report after which a worker that reported its departure counts as
+/// Time after its last report after which a worker that reported that it leaves counts as
 /// terminated.
 const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(12);
 
--- a/crates/controller/src/protocol.rs
+++ b/crates/controller/src/protocol.rs
@@ -24,7 +24,7 @@
     Unreadable(String),
     /// A record under a worker's name that no worker would send.
     InvalidRecord(WorkerId, RecordFault),
-    /// No such call.
+    /// The call does not exist.
     Unknown,
 }
 
@@ -41,7 +41,7 @@
     Redirect(String),
     /// The call cannot be answered now, for this reason.
     Unavailable(&'static str),
-    /// No such call.
+    /// The call does not exist.
     Unknown,
 }
 
--- a/crates/controller/src/quarantine.rs
+++ b/crates/controller/src/quarantine.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns the released requests for the next view and drops those published for long enough.
-    pub(crate) fn to_publish(&mut self, now: Instant) -> Vec<HeldRequest> {
+    pub(crate) fn for_view(&mut self, now: Instant) -> Vec<HeldRequest> {
         self.at.retain(|_, at| now.saturating_duration_since(*at) < RELEASE_TIME);
         let release = |(request, at): (&RequestDigest, &Instant)| HeldRequest {
             request: *request,
--- a/crates/controller/src/table_hashes.rs
+++ b/crates/controller/src/table_hashes.rs
@@ -12,7 +12,7 @@
 /// Time for an update to arrive and for the resulting table hash to be reported back.
 const ROUND_TRIP_LIMIT: Duration = Duration::from_millis(1000);
 
-/// Hashes that the table had within the last [`ROUND_TRIP_LIMIT`].
+/// Hashes that the table had within the last `ROUND_TRIP_LIMIT`.
 #[derive(Clone, Debug, Default)]
 pub struct TableHashHistory {
     recent: VecDeque<(u64, Instant)>,
@@ -33,7 +33,7 @@
         hash == local || self.recent.iter().any(|(recent, _)| *recent == hash)
     }
 
-    /// Drops hashes that were replaced by another one before [`ROUND_TRIP_LIMIT`].
+    /// Drops hashes that were replaced by another one before `ROUND_TRIP_LIMIT`.
     fn drop_old(&mut self, now: Instant) {
         let replaced_long_ago = |at: Instant| now.saturating_duration_since(at) > ROUND_TRIP_LIMIT;
         while self.recent.get(1).is_some_and(|(_, at)| replaced_long_ago(*at)) {
--- a/crates/zone/src/lease.rs
+++ b/crates/zone/src/lease.rs
@@ -44,14 +44,14 @@
     #[error("the last report of node {0} is older than the lease")]
     Expired(NodeId),
     /// A member reported another epoch than the allocation's.
-    #[error("node {node} is at epoch {found}, the replica at {wanted}", found = **found, wanted = **wanted)]
+    #[error("node {node} is at epoch {found}, the replica at {expected}", found = **found, expected = **expected)]
     OtherEpoch {
         /// The member.
         node: NodeId,
         /// Epoch that it reported.
         found: Epoch,
         /// Epoch of the allocation.
-        wanted: Epoch,
+        expected: Epoch,
     },
     /// A member restarted since the replica began to serve.
     #[error("node {0} restarted since the replica was ready")]
@@ -266,8 +266,8 @@
             return Err(ServingRefusal::Expired(member.clone()));
         }
         if observation.epoch != epoch {
-            let (found, wanted) = (observation.epoch, epoch);
-            return Err(ServingRefusal::OtherEpoch { node: member.clone(), found, wanted });
+            let (found, expected) = (observation.epoch, epoch);
+            return Err(ServingRefusal::OtherEpoch { node: member.clone(), found, expected });
         }
         if observation.state != NodeState::Ready {
             let state = observation.state;
--- a/crates/zone/tests/lease.rs
+++ b/crates/zone/tests/lease.rs
@@ -124,7 +124,7 @@
 
 #[rstest]
 #[case::other_start(2, 5, true, ServingRefusal::Restarted(node(0)))]
-#[case::old_epoch(1, 4, true, ServingRefusal::OtherEpoch { node: node(0), found: Epoch(4), wanted: Epoch(5) })]
+#[case::old_epoch(1, 4, true, ServingRefusal::OtherEpoch { node: node(0), found: Epoch(4), expected: Epoch(5) })]
 #[case::loading(1, 5, false, ServingRefusal::NotReady { node: node(0), state: NodeState::Loading })]
 fn refuse_member(
     #[case] start: u64,
