--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -60,7 +60,7 @@
             }
         };
         let (status, headers, body) = core.protocol.write_answer(&answer);
-        let mut response = Response::new(AnswerBody::whole(body));
+        let mut response = Response::new(AnswerBody::complete(body));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
         response
@@ -123,7 +123,7 @@
     let (checked, known, superseded) = {
         let fleet = core.fleet();
         let table = fleet.table();
-        let newest = table.newest_of(worker.name()).map(|entry| entry.report.id.clone());
+        let newest = table.newest_instance(worker.name()).map(|entry| entry.report.id.clone());
         let superseded = newest.is_some_and(|newest| newest.incarnation() > worker.incarnation());
         (check_start(worker, table), table.get(worker).is_some(), superseded)
     };
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -6,7 +6,9 @@
 
 use hollowbarrow_log::{AppliedChange, DriverConfig, LogDriver, ReplicaConfig, StoreLogError};
 use hollowbarrow_member::http::bind_http;
-use hollowbarrow_member::{MemberLinks, StartLinksError, WakeWatch, serve_http, serve_metrics};
+use hollowbarrow_member::{
+    MemberLinks, StartLinksError, SuspensionDetector, serve_http, serve_metrics,
+};
 use hollowbarrow_schema::{EntryPayload, MemberSettings};
 use hollowbarrow_state::DeploymentState;
 use thiserror::Error;
@@ -123,7 +125,7 @@
         applied,
         events,
         started: now,
-        suspension: WakeWatch::new(),
+        suspension: SuspensionDetector::new(),
         links,
         fleet,
         pending: Mutex::default(),
@@ -152,7 +154,7 @@
     let (notify, outbox) = (Arc::clone(applied), Arc::clone(links));
     let config = DriverConfig::new(replica, Some(data.join("config")))
         .with_snapshot_entries(SNAPSHOT_ENTRIES)
-        .with_applied(Box::new(move |change| {
+        .with_applied_callback(Box::new(move |change| {
             let may_be_newer = match change {
                 AppliedChange::Entry(entry) => {
                     matches!(entry.payload, EntryPayload::Deployment(_))
--- a/crates/controller/src/core.rs
+++ b/crates/controller/src/core.rs
@@ -6,7 +6,7 @@
 
 use hollowbarrow_fleet::{Deployment, Service, VersionTimes};
 use hollowbarrow_log::{LogDriver, LogView};
-use hollowbarrow_member::{EncodedDeployment, MemberLinks, WakeWatch};
+use hollowbarrow_member::{EncodedDeployment, MemberLinks, SuspensionDetector};
 use hollowbarrow_routing::LimitCoordinator;
 use hollowbarrow_schema::{DaemonId, DeploymentDocument, MemberSettings};
 use hollowbarrow_state::DeploymentState;
@@ -37,7 +37,7 @@
     pub(crate) events: flume::Sender<WorkerEvent>,
     pub(crate) metrics: ControllerMetrics,
     pub(crate) started: Instant,
-    pub(crate) suspension: WakeWatch,
+    pub(crate) suspension: SuspensionDetector,
     pub(crate) links: Arc<OnceLock<MemberLinks>>,
     pub(crate) fleet: Mutex<FleetState>,
     pub(crate) pending: Mutex<PendingReports>,
@@ -95,7 +95,7 @@
         let recent = |at: Instant| now.saturating_duration_since(at) < ELECTION_TIME;
         // While the machine was suspended another leader may have been elected, and the clock did
         // not count that time, so a confirmation from before a suspension is not recent.
-        let not_suspended = |at: Instant| !self.suspension.has_slept_since(at, now);
+        let not_suspended = |at: Instant| !self.suspension.was_suspended_since(at, now);
         view.current && view.confirmed.is_some_and(|at| recent(at) && not_suspended(at))
     }
 
@@ -135,7 +135,7 @@
     /// logs a change.
     pub(crate) fn config_certainty(&self, now: Instant) -> ConfigCertainty {
         let view = self.log.view();
-        let resumed = self.suspension.woke(now);
+        let resumed = self.suspension.last_resumed(now);
         let facts = CertaintyFacts {
             since: resumed.map_or(self.started, |resumed| resumed.max(self.started)),
             confirmed: view.confirmed,
--- a/crates/controller/src/delivery.rs
+++ b/crates/controller/src/delivery.rs
@@ -113,7 +113,7 @@
     pub fn lag(&self, commits: &VersionTimes, now: Instant) -> Duration {
         // The lag counts from the oldest commit that the gateway lacks. Counted from the newest, each
         // commit would restart it, and changes every 150 ms kept a zone's gateways behind for 4.3 s.
-        let lacking = commits.lacking_since(self.reported);
+        let lacking = commits.behind_since(self.reported);
         let since = lacking.map(|committed| committed.max(self.since));
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -92,7 +92,7 @@
             gateways: BTreeMap::new(),
             controllers: BTreeMap::new(),
             beats: BTreeMap::new(),
-            crashes: CrashLedger::new().with_watch_since(Instant::now()),
+            crashes: CrashLedger::new().with_observation_since(Instant::now()),
             released: ReleasedRequests::default(),
             served: false,
         }
@@ -106,7 +106,7 @@
     pub(crate) fn count_workers(&self) -> WorkerCounts {
         let mut counts = WorkerCounts::default();
         for entry in self.table.iter() {
-            let count = match (entry.is_there(), entry.report.leaving) {
+            let count = match (entry.is_available(), entry.report.leaving) {
                 (false, _) => &mut counts.gone,
                 (_, true) => &mut counts.leaving,
                 _ => &mut counts.ready,
@@ -127,7 +127,7 @@
         now: Instant,
     ) -> MergeOutcome {
         let (id, seq) = (report.id.clone(), report.seq);
-        let outcome = self.table.merge_own(report, heartbeat * SILENT_BEATS, now);
+        let outcome = self.table.merge_direct(report, heartbeat * SILENT_BEATS, now);
         if outcome == MergeOutcome::Renewed {
             self.beats.insert(id, seq);
         }
@@ -147,7 +147,7 @@
 
     pub(crate) fn expire(&mut self, silence: Duration, now: Instant) {
         self.table.expire(silence, now);
-        self.crashes.tidy(now);
+        self.crashes.prune(now);
         self.gateways
             .retain(|_, gateway| now.duration_since(gateway.last_received) < GATEWAY_SILENCE);
     }
@@ -175,7 +175,7 @@
 
     /// Records that the table's changes are sent out now.
     pub(crate) fn record_published(&mut self, now: Instant) {
-        self.hashes.record(self.table.digest(), now);
+        self.hashes.record(self.table.table_hash(), now);
     }
 
     /// Daemons to send the full table to now.
@@ -188,7 +188,7 @@
         self.served |= !hello.loads.is_empty();
         self.crashes.merge(&hello.crashes, now);
         let same_zone = hello.zone == self.zone;
-        let table_hash = self.table.digest();
+        let table_hash = self.table.table_hash();
         let covered = self.hashes.covers(hello.workers, table_hash, now);
         let former = self.gateways.get(from).map_or(0, |gateway| gateway.mismatches);
         let mismatches = if covered { 0 } else { former + 1 };
@@ -260,7 +260,7 @@
         }
         self.served |= hello.served;
         self.crashes.merge(&hello.crashes, now);
-        let table_hash = self.table.digest();
+        let table_hash = self.table.table_hash();
         let covered = self.hashes.covers(hello.workers, table_hash, now);
         let former = self.controllers.get(from);
         let mismatches = if covered { 0 } else { former.map_or(0, |known| known.mismatches) + 1 };
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hollowbarrow_fleet::workers::WorkerEntry;
-use hollowbarrow_fleet::{WorkerStanding, WorkerTable};
+use hollowbarrow_fleet::{WorkerStatus, WorkerTable};
 use hollowbarrow_schema::WorkerId;
 use tokio::time::Instant;
 
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
     /// Whether it can take part.
-    pub standing: WorkerStanding,
+    pub standing: WorkerStatus,
     /// Whether it should be probed now.
     pub probe: bool,
 }
@@ -113,27 +113,23 @@
         facts: &LivenessFacts<'_>,
     ) -> Assessment {
         let probe = self.probes.get(&entry.report.id).copied().unwrap_or_default();
-        let silence = facts.now.saturating_duration_since(entry.heard);
+        let silence = facts.now.saturating_duration_since(entry.last_received);
         let settled = |standing| Assessment { standing, probe: false };
         if probe.replaced || facts.terminated.contains(&entry.report.id) {
-            return settled(WorkerStanding::Dead);
+            return settled(WorkerStatus::Dead);
         }
-        if entry.ended {
+        if entry.superseded {
             // A later instance has registered. Until it has continued to register, or has answered a
             // probe of this one, it may come from another writer, and this one may still head a
             // replica.
             let due = probe
                 .sent
                 .is_none_or(|at| facts.now.saturating_duration_since(at) >= PROBE_INTERVAL);
-            return Assessment { standing: WorkerStanding::Lost, probe: due && !probe.in_progress };
+            return Assessment { standing: WorkerStatus::Lost, probe: due && !probe.in_progress };
         }
         if entry.report.gone || entry.report.leaving {
             let terminated = silence > DEPARTURE_TIMEOUT;
-            return settled(if terminated {
-                WorkerStanding::Dead
-            } else {
-                WorkerStanding::Leaving
-            });
+            return settled(if terminated { WorkerStatus::Dead } else { WorkerStatus::Leaving });
         }
         let head_use = head.and_then(|head| facts.uses.get(head)).copied().unwrap_or_default();
         let progressing = |within: Duration| {
@@ -141,15 +137,15 @@
         };
         let stalled = head.is_some() && head_use.active > 0 && !progressing(STALL_TIMEOUT);
         let overdue = silence > facts.heartbeat.mul_f64(PROBE_AFTER_BEATS);
-        let answered = probe.answered.is_some_and(|at| at > entry.heard);
+        let answered = probe.answered.is_some_and(|at| at > entry.last_received);
         let lost = probe.silent >= LOST_PROBES;
         if !(overdue || stalled || lost) || (head.is_some() && progressing(PROGRESS_VALIDITY)) {
-            return settled(WorkerStanding::Usable);
+            return settled(WorkerStatus::Usable);
         }
         let pause = if lost { LOST_PROBE_INTERVAL } else { PROBE_INTERVAL };
         let due = probe.sent.is_none_or(|at| facts.now.saturating_duration_since(at) >= pause);
         let answered_recently = answered && !stalled && !due;
-        let standing = if lost { WorkerStanding::Lost } else { WorkerStanding::Usable };
+        let standing = if lost { WorkerStatus::Lost } else { WorkerStatus::Usable };
         Assessment { standing, probe: due && !probe.in_progress && !answered_recently }
     }
 
@@ -187,7 +183,7 @@
                 // The earlier results concerned another writer under this name.
                 *probe = ProbeRecord { recount, ..ProbeRecord::default() };
             }
-            let last_received = table.get(worker).map(|entry| entry.heard);
+            let last_received = table.get(worker).map(|entry| entry.last_received);
             if last_received > probe.sent && !probe.in_progress {
                 probe.silent = 0;
             }
@@ -199,9 +195,9 @@
 /// name.
 pub fn find_terminated(table: &WorkerTable, heartbeat: Duration) -> HashSet<WorkerId> {
     let mut terminated = find_replaced(table, heartbeat);
-    let superseded = table.iter().filter(|entry| entry.ended);
+    let superseded = table.iter().filter(|entry| entry.superseded);
     terminated.extend(superseded.filter_map(|old| {
-        let new = table.newest_of(old.report.id.name())?;
+        let new = table.newest_instance(old.report.id.name())?;
         has_outlived(new, old, heartbeat).then(|| old.report.id.clone())
     }));
     terminated
@@ -225,11 +221,11 @@
 
 /// Whether `new` has continued to register for long enough since the last report of `old`.
 fn is_successor(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
-    let later = new.first >= old.first && new.report.id != old.report.id;
+    let later = new.first_received >= old.first_received && new.report.id != old.report.id;
     later && has_outlived(new, old, heartbeat)
 }
 
 fn has_outlived(new: &WorkerEntry, old: &WorkerEntry, heartbeat: Duration) -> bool {
-    let since = new.first.max(old.heard);
-    new.heard.saturating_duration_since(since) >= heartbeat.mul_f64(SUCCESSOR_BEATS)
+    let since = new.first_received.max(old.last_received);
+    new.last_received.saturating_duration_since(since) >= heartbeat.mul_f64(SUCCESSOR_BEATS)
 }
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -7,7 +7,7 @@
 
 use hollowbarrow_fleet::replicas::WorkerState;
 use hollowbarrow_fleet::{
-    LeaderTimes, OrderTicket, ReplicaController, ReplicaTiming, TermState, WorkerStanding,
+    LeaderTimes, OrderTicket, ReplicaController, ReplicaTiming, TermState, WorkerStatus,
 };
 use hollowbarrow_log::LogView;
 use hollowbarrow_schema::{
@@ -117,7 +117,7 @@
             if let Some(controller) =
                 leadership.and_then(|leadership| leadership.replicas.get_mut(&service))
             {
-                controller.note_outcome(&ticket, outcome, now);
+                controller.record_outcome(&ticket, outcome, now);
             }
         }
     }
@@ -149,7 +149,7 @@
         replicas: BTreeMap::new(),
         times: LeaderTimes {
             // At the first start no earlier leader can have ordered anything.
-            began: if first { core.started } else { now },
+            term_start: if first { core.started } else { now },
             settled: now + settle,
             loads_from: if first { now } else { now + window },
         },
@@ -176,7 +176,7 @@
     let terminated = find_terminated(fleet.table(), heartbeat);
     let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat, now };
     let warming_up = is_first_start(core, &fleet);
-    let mut standings: HashMap<WorkerId, WorkerStanding> = HashMap::new();
+    let mut standings: HashMap<WorkerId, WorkerStatus> = HashMap::new();
     let mut probes = Vec::new();
     for entry in fleet.table().iter() {
         let worker = &entry.report.id;
@@ -194,7 +194,7 @@
     }
     let mut withheld: Vec<WorkerId> = standings
         .iter()
-        .filter(|(_, standing)| **standing != WorkerStanding::Usable)
+        .filter(|(_, standing)| **standing != WorkerStatus::Usable)
         .map(|(worker, _)| worker.clone())
         .collect();
     for service in &services {
@@ -209,7 +209,7 @@
                     confirmed: entry.confirmed,
                     active: sum.active,
                     waiting_ms: sum.waiting_ms,
-                    standing: standings[&entry.report.id],
+                    status: standings[&entry.report.id],
                 }
             })
             .collect();
@@ -244,7 +244,7 @@
                 .progress
                 .map(|at| now.saturating_duration_since(at).as_millis() as u32),
         });
-        let mut quarantined = fleet.crashes().held(now);
+        let mut quarantined = fleet.crashes().quarantined(now);
         leadership.quarantine_log.record(&quarantined);
         quarantined.extend(fleet.released(now));
         let view = FleetView {
@@ -257,7 +257,7 @@
             loads: loads.collect(),
             held: quarantined,
             leader: Some(core.links().id().clone()),
-            limits: core.limits().told_due(now),
+            limits: core.limits().due_limits(now),
         };
         let mut daemons = fleet.view_gateways();
         daemons.extend(core.links().controllers());
@@ -270,7 +270,7 @@
     let grants = {
         let mut limits = core.limits();
         limits.enter(term);
-        limits.tidy(|worker| fleet.table().get(&WorkerId::from(worker)).is_some());
+        limits.prune(|worker| fleet.table().get(&WorkerId::from(worker)).is_some());
         limits.issue(now)
     };
     send_grants(core, grants);
@@ -278,9 +278,9 @@
 
 fn timing_of(core: &ControllerCore) -> ReplicaTiming {
     ReplicaTiming {
-        repeat: ORDER_RETRY_INTERVAL,
-        close: CLOSE_TIMEOUT,
-        late: LATE_ORDER_LIMIT,
+        order_retry: ORDER_RETRY_INTERVAL,
+        close_timeout: CLOSE_TIMEOUT,
+        max_order_delay: LATE_ORDER_LIMIT,
         load_window: Duration::from_secs(core.settings.load_window_s.into()),
     }
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -70,7 +70,7 @@
 ///
 /// Fails if that worker reports its start time and the call has none.
 pub fn check_start(worker: &WorkerId, table: &WorkerTable) -> Result<(), RecordFault> {
-    let newest = table.newest_of(worker.name());
+    let newest = table.newest_instance(worker.name());
     let reports_start = newest.is_some_and(|entry| entry.report.id.incarnation().is_some());
     if reports_start && worker.incarnation().is_none() {
         return Err(RecordFault::new("born", RecordProblem::MissingStartTime));
@@ -93,7 +93,7 @@
         deployment.services.iter().any(|service| service.name == report.service)
     });
     // A worker whose service was removed from the configuration still reports that it leaves.
-    let entry = table.newest_of(report.id.name());
+    let entry = table.newest_instance(report.id.name());
     let known = entry.is_some_and(|entry| entry.report.service == report.service);
     if !(named || known) {
         return Err(RecordFault::new("service", RecordProblem::UnknownService));
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -62,7 +62,7 @@
     let mut fleet = core.fleet();
     ControllerHello {
         zone: core.settings.zone.clone(),
-        workers: fleet.table().digest(),
+        workers: fleet.table().table_hash(),
         beats: if with_beats { fleet.take_beats() } else { Vec::new() },
         lost_disk,
         gateways: fleet.count_primary_gateways(),
@@ -101,7 +101,7 @@
         core.applied.notified().await;
         let now = Instant::now();
         let version = core.log.read(DeploymentState::version);
-        core.commits().note(version, now);
+        core.commits().record(version, now);
         log::info!("event=configuration_committed version={version}");
         if core.config_certainty(now) != ConfigCertainty::Complete {
             // The configuration held here may be older than the one in force.
@@ -149,7 +149,7 @@
     let answer = {
         let mut limits = core.limits();
         limits.enter(view.term);
-        limits.take_ask(from, ask, now)
+        limits.handle_ask(from, ask, now)
     };
     for (worker, limit) in &answer.changed {
         let milli = limit_text(*limit);
@@ -211,7 +211,7 @@
 pub(crate) fn accept_report(core: &ControllerCore, report: WorkerReport) {
     let id = report.id.clone();
     let mut fleet = core.fleet();
-    let former = fleet.table().newest_of(id.name()).map(|entry| entry.report.id.clone());
+    let former = fleet.table().newest_instance(id.name()).map(|entry| entry.report.id.clone());
     if fleet.record_report(report, core.heartbeat(), Instant::now()) != MergeOutcome::Changed {
         return;
     }
--- a/crates/controller/tests/liveness.rs
+++ b/crates/controller/tests/liveness.rs
@@ -8,7 +8,7 @@
 use hollowbarrow_controller::liveness::{
     LivenessFacts, LivenessTracker, ProbeOutcome, find_terminated,
 };
-use hollowbarrow_fleet::{WorkerStanding, WorkerTable};
+use hollowbarrow_fleet::{WorkerStatus, WorkerTable};
 use hollowbarrow_schema::{Incarnation, WorkerId, WorkerReport};
 use rstest::rstest;
 use standins::report;
@@ -46,12 +46,12 @@
 }
 
 #[rstest]
-#[case::answered(&[ProbeOutcome::Answered], WorkerStanding::Usable)]
-#[case::another_worker_answered(&[ProbeOutcome::Replaced], WorkerStanding::Dead)]
-#[case::silent_once(&[ProbeOutcome::Silent], WorkerStanding::Usable)]
-#[case::silent_twice(&[ProbeOutcome::Silent, ProbeOutcome::Silent], WorkerStanding::Lost)]
-#[case::refused(&[ProbeOutcome::Refused], WorkerStanding::Lost)]
-fn assess_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStanding) {
+#[case::answered(&[ProbeOutcome::Answered], WorkerStatus::Usable)]
+#[case::another_worker_answered(&[ProbeOutcome::Replaced], WorkerStatus::Dead)]
+#[case::silent_once(&[ProbeOutcome::Silent], WorkerStatus::Usable)]
+#[case::silent_twice(&[ProbeOutcome::Silent, ProbeOutcome::Silent], WorkerStatus::Lost)]
+#[case::refused(&[ProbeOutcome::Refused], WorkerStatus::Lost)]
+fn assess_probed_worker(#[case] outcomes: &[ProbeOutcome], #[case] expected: WorkerStatus) {
     let start = Instant::now();
     let table = table_after(start, &[(0, "w", 1)]);
     let worker = WorkerId::from("w");
@@ -71,17 +71,17 @@
 /// former instance is probed. Once the later one has continued to register, or has answered that
 /// probe, the former one counts as terminated.
 #[rstest]
-#[case::first_registration(&[], 0, WorkerStanding::Lost)]
-#[case::later_instance_answered(&[ProbeOutcome::Replaced], 0, WorkerStanding::Dead)]
-#[case::former_instance_answered(&[ProbeOutcome::Answered], 0, WorkerStanding::Lost)]
-#[case::continues(&[], 2, WorkerStanding::Dead)]
+#[case::first_registration(&[], 0, WorkerStatus::Lost)]
+#[case::later_instance_answered(&[ProbeOutcome::Replaced], 0, WorkerStatus::Dead)]
+#[case::former_instance_answered(&[ProbeOutcome::Answered], 0, WorkerStatus::Lost)]
+#[case::continues(&[], 2, WorkerStatus::Dead)]
 fn assess_former_instance(
     #[case] outcomes: &[ProbeOutcome],
     #[case] beats: u64,
-    #[case] expected: WorkerStanding,
+    #[case] expected: WorkerStatus,
 ) {
     let start = Instant::now();
-    let instance = |started| WorkerId::of_life("w", Some(Incarnation(started)));
+    let instance = |started| WorkerId::of_instance("w", Some(Incarnation(started)));
     let (former, next) = (instance(5), instance(6));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     for beat in 0..=beats {
@@ -98,7 +98,7 @@
     let entry = table.get(&former).expect("the former instance is in the table");
     assert_eq!(tracker.assess(entry, None, &facts).standing, expected);
     let entry = table.get(&next).expect("the worker has registered");
-    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStanding::Usable);
+    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStatus::Usable);
 }
 
 /// Another writer registered a later instance and answered the worker's probe. The worker continues
@@ -106,7 +106,7 @@
 #[rstest]
 fn assess_recounted_instance() {
     let start = Instant::now();
-    let former = WorkerId::of_life("w", Some(Incarnation(5)));
+    let former = WorkerId::of_instance("w", Some(Incarnation(5)));
     let mut table = table_after(start, &[(0, former.as_str(), 9)]);
     let mut tracker = LivenessTracker::new();
     tracker.record_probe_sent(&former, start);
@@ -118,5 +118,5 @@
     let now = start + HEARTBEAT;
     let facts = LivenessFacts { uses: &uses, terminated: &terminated, heartbeat: HEARTBEAT, now };
     let entry = table.get(&former).expect("the former instance is in the table");
-    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStanding::Usable);
+    assert_eq!(tracker.assess(entry, None, &facts).standing, WorkerStatus::Usable);
 }
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 fn instance(started: Option<u64>) -> WorkerId {
-    WorkerId::of_life("w", started.map(Incarnation))
+    WorkerId::of_instance("w", started.map(Incarnation))
 }
 
 fn deployment(service: &str) -> Deployment {
@@ -30,8 +30,8 @@
         limits: CallerLimits {
             header_bytes: 1,
             body_bytes: 1,
-            header_time: Duration::from_secs(1),
-            idle_time: Duration::from_secs(1),
+            header_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(1),
         },
         organisations: None,
     }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use hollowbarrow_routing::retry::AttemptUpstreamError;
-use hollowbarrow_routing::{AttemptLedger, CopyTicket, PERMIT_PATIENCE, PERMIT_POLL};
+use hollowbarrow_routing::{
+    AttemptLedger, DuplicateTicket, PERMIT_POLL_INTERVAL, PERMIT_WAIT_TIMEOUT,
+};
 use hollowbarrow_schema::{ErrorRan, WorkerId};
 use hollowbarrow_upstream::{ConnectionLease, SendRequestError, SentAnswer, UpstreamRequest};
 use tokio::time::Instant;
@@ -30,7 +32,7 @@
 /// The attempts at a request so far.
 #[derive(Debug)]
 pub(crate) struct AttemptHistory {
-    ticket: CopyTicket,
+    ticket: DuplicateTicket,
     /// Time before which the request is not retried: other gateways may report meanwhile that it
     /// crashes workers.
     repeat_after: Option<Instant>,
@@ -44,7 +46,7 @@
 
 impl AttemptHistory {
     /// Creates the history of a request before its first attempt.
-    pub(crate) fn new(ticket: CopyTicket) -> Self {
+    pub(crate) fn new(ticket: DuplicateTicket) -> Self {
         Self {
             ticket,
             repeat_after: None,
@@ -57,7 +59,7 @@
 
     /// Records that part of an answer was received.
     pub(crate) fn record_progress(&self) {
-        self.ticket.note_progress();
+        self.ticket.record_progress();
     }
 
     /// Waits until the request may be retried, at most until its deadline.
@@ -92,7 +94,7 @@
         }
         let sent = waited.unwrap_or_else(|error| Err(error.into()));
         let ran = sent.as_ref().map_or_else(AttemptUpstreamError::ran, |_| ErrorRan::Ran);
-        self.ledger.note_outcome(ran);
+        self.ledger.record_outcome(ran);
         sent
     }
 
@@ -106,7 +108,7 @@
     ) {
         if let (AttemptUpstreamError::ConnectionLost { .. }, Some(sent)) = (error, self.last_sent) {
             core.crashes().record_crash(request.digest, worker, sent, Instant::now());
-            self.repeat_after = self.ticket.note_ended();
+            self.repeat_after = self.ticket.record_crash();
         }
         self.excluded.push(worker.clone());
         if !self.summary.is_empty() {
@@ -127,7 +129,7 @@
 
     /// Records that the next attempt is already charged to the retry budget.
     pub(crate) fn record_charged_repeat(&mut self) {
-        self.ledger.note_paid();
+        self.ledger.record_budgeted();
     }
 
     /// Returns whether no further attempt may follow the current one.
@@ -150,7 +152,7 @@
 pub(crate) async fn admit_request(
     core: &GatewayCore,
     request: &CallerRequest,
-) -> Result<CopyTicket, Refusal> {
+) -> Result<DuplicateTicket, Refusal> {
     let (quarantine, answered) = {
         let crashes = core.crashes();
         let quarantine = crashes.quarantine_left(request.digest, Instant::now());
@@ -166,13 +168,13 @@
 }
 
 /// Chooses a worker for the next attempt, unless the request is quarantined. If all workers with
-/// free capacity have a rate limit, waits up to [`PERMIT_PATIENCE`] for a permit.
+/// free capacity have a rate limit, waits up to [`PERMIT_WAIT_TIMEOUT`] for a permit.
 pub(crate) async fn choose_worker(
     core: &Arc<GatewayCore>,
     request: &CallerRequest,
     history: &AttemptHistory,
 ) -> Result<WorkerAttempt, Refusal> {
-    let limit = request.deadline().min(Instant::now() + PERMIT_PATIENCE);
+    let limit = request.deadline().min(Instant::now() + PERMIT_WAIT_TIMEOUT);
     let mut waiting: Option<PermitWaiting> = None;
     loop {
         let permits = core.permits_answered.notified();
@@ -188,7 +190,7 @@
         }
         waiting.get_or_insert_with(|| PermitWaiting::new(core));
         core.permits_requested.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL), permits).await;
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), permits).await;
     }
 }
 
@@ -223,7 +225,7 @@
         model: request.head.model.as_ref(),
         prompt_tokens: request.head.prompt_tokens,
         excluded: history.excluded(),
-        kept: &core.client.kept_addresses(),
+        kept: &core.client.idle_addresses(),
         permit_wait,
     });
     attempt.map_err(Refusal::NoWorker)
@@ -239,9 +241,9 @@
     is_resume: bool,
 ) -> Result<ConnectionLease, AttemptUpstreamError> {
     if history.ledger.sends() == 0 {
-        core.budget.note_request();
+        core.budget.record_request();
     }
-    history.ledger.note_send();
+    history.ledger.record_send();
     history.last_sent = Some(Instant::now());
     if history.ledger.sends() > 1 {
         core.metrics.count_repeat(if is_resume { "resumed" } else { "again" });
@@ -249,9 +251,9 @@
     let limit = request.deadline().min(Instant::now() + CONNECT_TIMEOUT);
     let preparing = core.client.prepare(attempt.worker.address, true);
     match tokio::time::timeout_at(limit, preparing).await {
-        Ok(Ok(lease)) => Ok(lease.with_most_idle(core.most_idle(&request.service))),
+        Ok(Ok(lease)) => Ok(lease.with_max_idle(core.most_idle(&request.service))),
         _ => {
-            history.ledger.note_outcome(ErrorRan::NotRun);
+            history.ledger.record_outcome(ErrorRan::NotRun);
             Err(AttemptUpstreamError::NotReached)
         }
     }
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -83,7 +83,7 @@
         self.plain.clear();
         let broken = broken_epochs(table);
         let cross_domain = cross_domain_epochs(table);
-        for report in table.iter().filter(|entry| !entry.ended).map(|entry| &entry.report) {
+        for report in table.iter().filter(|entry| !entry.superseded).map(|entry| &entry.report) {
             let Some(candidate) = self.candidate_of(report) else { continue };
             let Some(membership) = &report.membership else {
                 self.plain.entry(report.service.clone()).or_default().push(candidate);
@@ -122,7 +122,7 @@
 
 /// Returns the epochs of replicas with a member that leaves or has ended.
 fn broken_epochs(table: &WorkerTable) -> BTreeSet<Epoch> {
-    let broken = table.iter().filter(|entry| entry.report.leaving || !entry.is_there());
+    let broken = table.iter().filter(|entry| entry.report.leaving || !entry.is_available());
     broken.filter_map(|entry| entry.report.membership.as_ref()).map(|m| m.epoch).collect()
 }
 
@@ -130,7 +130,7 @@
 fn cross_domain_epochs(table: &WorkerTable) -> BTreeSet<Epoch> {
     let mut domains: HashMap<Epoch, Option<&DomainId>> = HashMap::new();
     let mut cross_domain = BTreeSet::new();
-    for report in table.iter().filter(|entry| entry.is_there()).map(|entry| &entry.report) {
+    for report in table.iter().filter(|entry| entry.is_available()).map(|entry| &entry.report) {
         let Some(membership) = &report.membership else { continue };
         let domain = report.domain.as_ref();
         if *domains.entry(membership.epoch).or_insert(domain) != domain {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -5,11 +5,13 @@
 use std::time::Duration;
 
 use hollowbarrow_fleet::{RouteTable, Service, VersionTimes};
-use hollowbarrow_member::WakeWatch;
+use hollowbarrow_member::SuspensionDetector;
 use hollowbarrow_routing::retry::{AttemptUpstreamError, RetryBudget};
-use hollowbarrow_routing::{CopyGate, CurrencyFacts, LimitWord, WordSpan, limit_text};
+use hollowbarrow_routing::{
+    ConfigFreshness, DuplicateGate, LimitNotice, NoticeInterval, limit_text,
+};
 use hollowbarrow_schema::{DaemonId, FleetView, MemberSettings, WorkerId};
-use hollowbarrow_upstream::{UpstreamClient, UpstreamWord};
+use hollowbarrow_upstream::{UpstreamClient, UpstreamNotice};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -42,7 +44,7 @@
     primary: Mutex<PrimarySelector>,
     crashes: Mutex<CrashGuard>,
     /// Requests in progress, and their duplicates.
-    pub(crate) duplicates: CopyGate,
+    pub(crate) duplicates: DuplicateGate,
     /// Versions of the configuration that the leader has published.
     known: Mutex<VersionTimes>,
     /// Notified when a request waits for a permit.
@@ -50,7 +52,7 @@
     /// Notified when the issuer of permits has answered.
     pub(crate) permits_answered: Notify,
     pub(crate) in_flight: AtomicU32,
-    pub(crate) suspension: Arc<WakeWatch>,
+    pub(crate) suspension: Arc<SuspensionDetector>,
     /// When a current view of the leader was last received.
     last_view: Mutex<Option<Instant>>,
 }
@@ -62,20 +64,20 @@
         Self {
             client: UpstreamClient::new()
                 .with_identity(protocol.identity_header())
-                .with_first_connect(FIRST_CONNECT),
+                .with_first_connect_timeout(FIRST_CONNECT),
             budget: RetryBudget::with_limits(limits, Instant::now()),
             metrics: GatewayMetrics::new(),
             stopping: AtomicBool::new(false),
             routes: RwLock::new(None),
             picker: Mutex::new(WorkerPicker::new(&settings.zone).with_preferences(&local)),
             crashes: Mutex::new(CrashGuard::new().with_identity(&local)),
-            duplicates: CopyGate::new(),
+            duplicates: DuplicateGate::new(),
             primary: Mutex::new(PrimarySelector::new(&local, &settings.zone)),
             known: Mutex::default(),
             permits_requested: Notify::new(),
             permits_answered: Notify::new(),
             in_flight: AtomicU32::new(0),
-            suspension: Arc::new(WakeWatch::new()),
+            suspension: Arc::new(SuspensionDetector::new()),
             last_view: Mutex::new(None),
             settings,
             protocol,
@@ -114,19 +116,19 @@
     }
 
     /// Returns what is known about the currency of the active configuration.
-    pub(crate) fn currency(&self, now: Instant) -> CurrencyFacts {
+    pub(crate) fn currency(&self, now: Instant) -> ConfigFreshness {
         let last_view = *self.last_view.lock().expect("no holder of the lock panics");
-        CurrencyFacts {
+        ConfigFreshness {
             version: self.version(),
             known: self.known().newest(),
-            word_age: last_view.map(|at| now.saturating_duration_since(at)),
+            confirmation_age: last_view.map(|at| now.saturating_duration_since(at)),
         }
     }
 
     /// Returns whether the machine was suspended since the last current view.
     fn was_suspended_since_view(&self) -> bool {
         let last = *self.last_view.lock().expect("no holder of the lock panics");
-        last.is_some_and(|last| self.suspension.has_slept_since(last, Instant::now()))
+        last.is_some_and(|last| self.suspension.was_suspended_since(last, Instant::now()))
     }
 
     fn known(&self) -> MutexGuard<'_, VersionTimes> {
@@ -149,7 +151,7 @@
 
     /// Applies a view that a controller passed on.
     pub(crate) fn apply_view(&self, from: &DaemonId, view: &FleetView, now: Instant) {
-        self.known().note(view.deployment, now);
+        self.known().record(view.deployment, now);
         self.crashes().apply_view(view, now);
         let mut picker = self.picker();
         let before = picker.gateways();
@@ -244,12 +246,12 @@
         }
         // A misdirected answer comes from another worker that now has the address.
         if !facts.misdirected {
-            self.record_limit(worker, notice, WordSpan { sent, came: Instant::now() });
+            self.record_limit(worker, notice, NoticeInterval { sent, came: Instant::now() });
         }
     }
 
     /// Records the rate limit that a worker states.
-    fn record_limit(&self, worker: &WorkerId, notice: &UpstreamWord, span: WordSpan) {
+    fn record_limit(&self, worker: &WorkerId, notice: &UpstreamNotice, span: NoticeInterval) {
         let limit = match notice.limit {
             Ok(limit) => limit,
             Err(error) => {
@@ -257,7 +259,7 @@
                 return;
             }
         };
-        if self.picker().record_limit(worker, LimitWord { limit, span }) {
+        if self.picker().record_limit(worker, LimitNotice { limit, span }) {
             let milli = limit_text(limit);
             log::info!("event=worker_limit worker={} milli_per_s={milli}", **worker);
         }
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use hollowbarrow_routing::{CrashWatch, EndedRun, trial_hold};
+use hollowbarrow_routing::{CrashTracker, TerminatedRun, probe_delay};
 use hollowbarrow_schema::{
     CrashRecord, DaemonId, FleetView, HeldRequest, RequestDigest, Term, WorkerId,
 };
@@ -57,7 +57,7 @@
     local: u64,
     /// Number of gateways in the last view.
     gateways: u32,
-    watch: CrashWatch,
+    watch: CrashTracker,
     from_leader: HashMap<RequestDigest, LeaderQuarantine>,
     /// Term and number of the last view of the leader.
     view_version: (Term, u64),
@@ -95,7 +95,7 @@
         }
         let elapsed = now.saturating_duration_since(quarantine.ended_since?);
         let window = self.view_version.1 / VIEWS_PER_WINDOW;
-        trial_hold(self.local, request, window, self.gateways, elapsed)
+        probe_delay(self.local, request, window, self.gateways, elapsed)
     }
 
     /// Returns the remaining quarantine by the observations of this gateway alone.
@@ -105,7 +105,7 @@
         let fresh =
             self.local_crashes.get(&request).is_some_and(|at| within(*at, LOCAL_VERDICT_TIME));
         let applies = silent || fresh;
-        self.watch.hold_left(request, now).filter(|_| applies)
+        self.watch.quarantine_left(request, now).filter(|_| applies)
     }
 
     /// Records that a worker's process terminated while running a request that was sent to it at
@@ -118,8 +118,8 @@
         now: Instant,
     ) {
         let upstream = xxh3_64(worker.as_bytes());
-        self.watch.note_run(request, EndedRun { upstream, sent, ended: now });
-        if self.watch.hold_left(request, now).is_some() {
+        self.watch.record_run(request, TerminatedRun { upstream, sent, ended: now });
+        if self.watch.quarantine_left(request, now).is_some() {
             self.local_crashes.insert(request, now);
         }
         if let Some(quarantine) = self.from_leader.get_mut(&request) {
@@ -130,7 +130,7 @@
 
     /// Records a complete answer to a request.
     pub fn record_answer(&mut self, request: RequestDigest, now: Instant) {
-        self.watch.note_answer(request, now);
+        self.watch.record_answer(request, now);
     }
 
     /// Returns whether a request with this content was answered here recently.
--- a/crates/gateway/src/estimate.rs
+++ b/crates/gateway/src/estimate.rs
@@ -51,7 +51,7 @@
     replicas: usize,
 ) -> Option<f64> {
     let each = f64::from(active) / replicas.max(1) as f64;
-    let answer_ms = engine.step_ms(spec, each) * f64::from(engine.usual_answer);
+    let answer_ms = engine.step_ms(spec, each) * f64::from(engine.mean_answer_tokens);
     let delay_ms = REPORT_DELAY.as_secs_f64() * 1000.0;
     (answer_ms > 0.0).then(|| f64::from(active) * delay_ms / answer_ms)
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hollowbarrow_fleet::{Organisation, Route, RouteTable};
 use hollowbarrow_member::http::plain_answer;
-use hollowbarrow_member::{HttpAnswer, HttpHandler, HttpLimits, WakeWatch};
+use hollowbarrow_member::{HttpAnswer, HttpHandler, HttpLimits, SuspensionDetector};
 use hollowbarrow_routing::RequestContent;
 use hollowbarrow_schema::{RequestDigest, ServiceName};
 use http_body_util::{BodyExt, Limited};
@@ -60,7 +60,7 @@
         self.0.routes().map_or(INITIAL_LIMITS, |routes| {
             let limits = routes.limits();
             let head_bytes = limits.header_bytes.max(INITIAL_LIMITS.head_bytes);
-            HttpLimits { head_bytes, idle: limits.idle_time }
+            HttpLimits { head_bytes, idle: limits.idle_timeout }
         })
     }
 
@@ -117,7 +117,7 @@
         refusal.name(),
         facts.version,
         facts.known,
-        facts.word_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
+        facts.confirmation_age.map_or_else(|| "none".to_owned(), |age| age.as_millis().to_string())
     );
     // Callers do not retry after a 404 or a 401, so these are sent only if the configuration is known
     // to be the newest.
@@ -174,7 +174,7 @@
     routed: RoutedRequest,
     body: Bytes,
     received: Instant,
-    suspension: &Arc<WakeWatch>,
+    suspension: &Arc<SuspensionDetector>,
 ) -> CallerRequest {
     let timeout = routed.route.timeout;
     let timeout_left = head.deadline.map_or(timeout, |deadline| deadline.min(timeout));
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -17,7 +17,7 @@
 
 use hollowbarrow_fleet::{Engine, Service, WorkerTable};
 use hollowbarrow_routing::{
-    BackoffReason, BackoffTable, LimitWord, PERMIT_LIFETIME, Permit, UpstreamLimits,
+    BackoffReason, BackoffTable, LimitNotice, PERMIT_LIFETIME, Permit, UpstreamLimits,
 };
 use hollowbarrow_schema::{
     DaemonId, FleetView, ModelName, PermitAsk, PermitGrant, RequestRate, ServiceName, WorkerId,
@@ -180,7 +180,7 @@
     /// leader.
     pub fn apply_view(&mut self, view: &FleetView, now: Instant) -> bool {
         if self.view.is_newer(view) {
-            self.limits.take_told(&view.limits, now);
+            self.limits.record_published(&view.limits, now);
         }
         self.view.apply(view, &self.reported, now)
     }
@@ -192,7 +192,7 @@
 
     /// Returns the hash of the table of workers.
     pub fn digest(&self) -> u64 {
-        self.table.digest()
+        self.table.table_hash()
     }
 
     /// Returns the number of workers in the table.
@@ -215,8 +215,8 @@
         self.table.expire(silence, now);
         let table = &self.table;
         self.local.retain(|id, local| local.active > 0 || table.get(id).is_some());
-        self.backoffs.tidy(|id| table.get(id).is_some(), now);
-        self.limits.tidy(|id| table.get(&WorkerId::from(id)).is_some());
+        self.backoffs.prune(|id| table.get(id).is_some(), now);
+        self.limits.prune(|id| table.get(&WorkerId::from(id)).is_some());
     }
 
     /// Returns this gateway's load for each worker, to be reported to controllers.
@@ -258,7 +258,7 @@
         match picked {
             Ok((worker, better_with_permit)) => {
                 if let Some(better) = better_with_permit {
-                    self.limits.note_need_ahead(&better, PERMIT_LIFETIME, now);
+                    self.limits.record_future_need(&better, PERMIT_LIFETIME, now);
                 }
                 let permit = self.limits.take(&worker.id, now);
                 Ok(PickedWorker { permit, ..worker })
@@ -266,7 +266,7 @@
             Err(NoChoice::Reason(reason)) => Err(reason),
             Err(NoChoice::NeedPermits(workers)) => {
                 let PermitWait { left, waiting } = facts.permit_wait;
-                let wait = if self.limits.note_need_of_any(&workers, left, waiting, now) {
+                let wait = if self.limits.record_need_of_any(&workers, left, waiting, now) {
                     LimitedWait::Soon
                 } else {
                     LimitedWait::Later(self.limits.wait(&workers, now))
@@ -293,9 +293,9 @@
         let candidates = self.candidates.replicas(&key);
         let estimate = |candidate: &Candidate| {
             let load = self.load_of(&candidate.id);
-            let slowdown = if candidate.cross_domain { engine.far } else { 1.0 };
-            let iteration = engine.pass_ms(spec, f64::from(load.active + 1)) * slowdown;
-            let prefill = engine.reading_ms(spec, facts.prompt_tokens) * slowdown;
+            let slowdown = if candidate.cross_domain { engine.cross_domain_factor } else { 1.0 };
+            let iteration = engine.iteration_ms(spec, f64::from(load.active + 1)) * slowdown;
+            let prefill = engine.prefill_ms(spec, facts.prompt_tokens) * slowdown;
             let first_event_ms = load.waiting_ms + prefill + iteration * 1.5;
             PickedWorker {
                 id: candidate.id.clone(),
@@ -371,7 +371,7 @@
         let mut need_permits: Vec<String> = Vec::new();
         for candidate in candidates.iter().filter(usable) {
             if let Some(reason) = self.backoff(&candidate.id, now) {
-                backoff = backoff.into_iter().chain(reason.left()).min();
+                backoff = backoff.into_iter().chain(reason.remaining()).min();
                 continue;
             }
             if facts.excluded.contains(&candidate.id) {
@@ -485,12 +485,12 @@
 
     /// Records a backoff that a worker asked of this gateway.
     pub fn record_backoff(&mut self, id: &WorkerId, backoff: Duration, now: Instant) {
-        self.backoffs.note_asked(id, backoff, now);
+        self.backoffs.record_backoff(id, backoff, now);
     }
 
     /// Records a worker's notice that it leaves; returns false if that was known.
     pub fn record_leaving(&mut self, id: &WorkerId) -> bool {
-        self.backoffs.note_leaving(id)
+        self.backoffs.record_leaving(id)
     }
 
     /// Returns the permit of a request that was not sent.
@@ -505,7 +505,7 @@
 
     /// Adds issued permits.
     pub fn take_grant(&mut self, grant: &PermitGrant, now: Instant) {
-        self.limits.take_grant(grant, now);
+        self.limits.record_grant(grant, now);
     }
 
     /// Records that a request begins to wait for a permit.
@@ -519,8 +519,8 @@
     }
 
     /// Records a worker's notice of its rate limit; returns true if the limit changed.
-    pub fn record_limit(&mut self, id: &WorkerId, notice: LimitWord) -> bool {
-        self.limits.note(id, notice)
+    pub fn record_limit(&mut self, id: &WorkerId, notice: LimitNotice) -> bool {
+        self.limits.record_notice(id, notice)
     }
 
     /// Returns the rate that a worker accepts from all gateways together, if it stated a limit.
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -7,7 +7,7 @@
 
 use hollowbarrow_fleet::{Deployment, DeploymentFault};
 use hollowbarrow_schema::{ModelName, WorkerId};
-use hollowbarrow_upstream::UpstreamWord;
+use hollowbarrow_upstream::UpstreamNotice;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode, header::HeaderName};
 use thiserror::Error;
@@ -74,7 +74,7 @@
     /// Whether another worker now has the address.
     pub misdirected: bool,
     /// The worker's notices: its limit, a backoff, or that it leaves.
-    pub notice: UpstreamWord,
+    pub notice: UpstreamNotice,
 }
 
 /// Translates between a gateway and the messages of a platform.
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -131,6 +131,6 @@
         if let Some(delay) = self.retry_after(left) {
             builder = builder.header(RETRY_AFTER, format!("{:.3}", delay.as_secs_f64()));
         }
-        builder.body(AnswerBody::whole(self.name())).expect("status and headers are valid")
+        builder.body(AnswerBody::complete(self.name())).expect("status and headers are valid")
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hollowbarrow_fleet::{Organisation, Route, Service};
-use hollowbarrow_member::{HttpAnswer, WakeWatch};
+use hollowbarrow_member::{HttpAnswer, SuspensionDetector};
 use hollowbarrow_routing::AttemptBounds;
 use hollowbarrow_schema::RequestDigest;
 use hyper::{HeaderMap, Method};
@@ -33,7 +33,7 @@
     pub(crate) latest_end: Instant,
     /// Total time of suspensions before the request was received.
     pub(crate) suspended_before: Duration,
-    pub(crate) suspension: Arc<WakeWatch>,
+    pub(crate) suspension: Arc<SuspensionDetector>,
     /// Hash of the content; duplicates have the same one.
     pub(crate) digest: RequestDigest,
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use futures_util::stream::unfold;
 use hollowbarrow_fleet::Repeatability;
-use hollowbarrow_member::{AnswerBody, CutAnswerError, HttpAnswer};
+use hollowbarrow_member::{AnswerBody, HttpAnswer, TruncatedAnswerError};
 use hollowbarrow_routing::retry::AttemptUpstreamError;
 use hollowbarrow_upstream::{ConnectionLease, SentAnswer};
 use http_body_util::BodyExt;
@@ -227,7 +227,7 @@
     /// Returns the answer, whose body reads further events on demand.
     fn into_answer(self, head: hyper::http::response::Parts, first: Option<Bytes>) -> HttpAnswer {
         let Some(first) = first else {
-            return Response::from_parts(head, AnswerBody::whole(Bytes::new()));
+            return Response::from_parts(head, AnswerBody::complete(Bytes::new()));
         };
         let chunks = unfold((self, Some(first)), |(mut run, first)| async move {
             if let Some(first) = first {
@@ -236,11 +236,11 @@
             let chunk = run.next_chunk().await?;
             Some((chunk, (run, None)))
         });
-        Response::from_parts(head, AnswerBody::Pieces(Box::pin(chunks)))
+        Response::from_parts(head, AnswerBody::Chunks(Box::pin(chunks)))
     }
 
     /// Returns the next events; `None` at the end of a complete stream.
-    async fn next_chunk(&mut self) -> Option<Result<Bytes, CutAnswerError>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, TruncatedAnswerError>> {
         loop {
             let error = match self.read().await {
                 ReadStep::Chunk(chunk) => {
@@ -256,7 +256,7 @@
             if let Err(error) = self.resume(error).await {
                 let refusal = Refusal::from_attempt(&error);
                 self.request.record_failed(&self.core, refusal, &self.history);
-                return Some(Err(CutAnswerError));
+                return Some(Err(TruncatedAnswerError));
             }
         }
     }
--- a/crates/gateway/tests/picker.rs
+++ b/crates/gateway/tests/picker.rs
@@ -7,7 +7,7 @@
 
 use hollowbarrow_fleet::{Engine, ModelSpec, Service};
 use hollowbarrow_gateway::picker::{LimitedWait, NoWorker, PermitWait, PickFacts, WorkerPicker};
-use hollowbarrow_routing::{LimitWord, WordSpan};
+use hollowbarrow_routing::{LimitNotice, NoticeInterval};
 use hollowbarrow_schema::{
     DaemonId, DomainId, Epoch, FleetView, MembershipState, ModelName, PermitGrant, PermitTerms,
     RequestRate, ServiceName, Term, UpstreamLimit, WorkerId, WorkerLoad, WorkerMembership,
@@ -25,9 +25,9 @@
         name: ModelName::from("m"),
         size: 2,
         share: 1.0,
-        pace: 1.0,
-        load: Duration::from_secs(16),
-        warm: Duration::from_secs(1),
+        time_factor: 1.0,
+        load_time: Duration::from_secs(16),
+        warm_load_time: Duration::from_secs(1),
     };
     Service {
         name: ServiceName("chat".to_owned()),
@@ -39,13 +39,13 @@
             models: vec![model],
             step: Duration::from_millis(6),
             step_per_request_ms: 0.05,
-            read_per_second: 50_000.0,
+            prefill_per_second: 50_000.0,
             stride: 7,
             loads_per_second: 4.5,
             loads_at_once: 6,
-            far: 2.5,
-            form: Duration::from_millis(300),
-            usual_answer: 178,
+            cross_domain_factor: 2.5,
+            open_delay: Duration::from_millis(300),
+            mean_answer_tokens: 178,
         }),
     }
 }
@@ -479,9 +479,9 @@
 
 /// Records a limit that a worker states in an answer at this time.
 fn name_limit(picker: &mut WorkerPicker, id: &str, milli: u64, now: Instant) {
-    let span = WordSpan { sent: now, came: now };
+    let span = NoticeInterval { sent: now, came: now };
     let limit = Some(RequestRate(milli));
-    assert!(picker.record_limit(&WorkerId::from(id), LimitWord { limit, span }));
+    assert!(picker.record_limit(&WorkerId::from(id), LimitNotice { limit, span }));
 }
 
 fn issue(picker: &mut WorkerPicker, id: &str, issued: u32, wait_ms: Option<u32>, now: Instant) {
