--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -90,7 +90,7 @@
             gateways: BTreeMap::new(),
             controllers: BTreeMap::new(),
             beats: BTreeMap::new(),
-            crashes: CrashLedger::new().with_watch_since(Instant::now()),
+            crashes: CrashLedger::new().with_observation_since(Instant::now()),
             released: ReleasedRequests::default(),
             served: false,
         }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -200,7 +200,7 @@
     candidates: &mut Vec<RouteCandidate>,
     now: Instant,
 ) -> Vec<String> {
-    let lacking = core.limits().lacking(core.daemons(), now);
+    let lacking = core.limits().without_permit(core.daemons(), now);
     if lacking.is_empty() {
         return Vec::new();
     }
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -246,7 +246,7 @@
     /// Says why no worker can be given the request now.
     pub fn pick(&mut self, facts: &PickFacts<'_>, now: Instant) -> Result<PickedWorker, NoWorker> {
         self.candidates.refresh(&self.table);
-        let lacking = self.limits.lacking(self.gateways(), now);
+        let lacking = self.limits.without_permit(self.gateways(), now);
         let engine = facts.service.engine.as_ref();
         let picked = match engine.filter(|engine| !engine.models.is_empty()) {
             Some(engine) => self.pick_replica(facts, engine, &lacking, now),
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -68,7 +68,7 @@
     used: u32,
     classes: [ClassQueue; 3],
     next_id: u64,
-    held_ms: f64,
+    occupancy_ms: f64,
 }
 
 /// Lets requests in by class and fair share.
@@ -95,7 +95,7 @@
     /// Creates an empty queue.
     pub fn new(limits: QueueLimits) -> Self {
         let state =
-            QueueState { used: 0, classes: Default::default(), next_id: 0, held_ms: 1000.0 };
+            QueueState { used: 0, classes: Default::default(), next_id: 0, occupancy_ms: 1000.0 };
         Self { limits, state: Arc::new(Mutex::new(state)) }
     }
 
@@ -114,14 +114,14 @@
     }
 
     /// Places that a class may fill.
-    fn places_for(&self, class: Urgency) -> u32 {
-        let places = f64::from(self.limits.slots);
-        let kept = match class {
+    fn slots_for(&self, class: Urgency) -> u32 {
+        let slots = f64::from(self.limits.slots);
+        let reserved = match class {
             Urgency::Urgent => 0.0,
             Urgency::Normal => URGENT_RESERVE,
             Urgency::Batch => URGENT_RESERVE + BATCH_RESERVE,
         };
-        ((places * (1.0 - kept)) as u32).max(1)
+        ((slots * (1.0 - reserved)) as u32).max(1)
     }
 
     /// Waits for a place.
@@ -137,8 +137,8 @@
         deadline: Instant,
     ) -> Result<AdmissionTicket, ShedRequestError> {
         let (id, granted) = match self.try_enter(class, organisation, weight, deadline)? {
-            Entry::Placed(ticket) => return Ok(ticket),
-            Entry::Waits(id, granted) => (id, granted),
+            Entry::Admitted(ticket) => return Ok(ticket),
+            Entry::Queued(id, granted) => (id, granted),
         };
         let guard = WaitGuard { queue: self, class, id, armed: true };
         match tokio::time::timeout_at(deadline, granted).await {
@@ -165,15 +165,15 @@
         if now >= deadline {
             return Err(ShedRequestError::DeadlinePassed);
         }
-        let places = self.places_for(class);
+        let slots = self.slots_for(class);
         let mut state = self.lock();
-        if state.used < places && state.classes[class as usize].waiters.is_empty() {
+        if state.used < slots && state.classes[class as usize].waiters.is_empty() {
             state.used += 1;
-            return Ok(Entry::Placed(AdmissionTicket { queue: self.clone(), since: now }));
+            return Ok(Entry::Admitted(AdmissionTicket { queue: self.clone(), since: now }));
         }
         let waiting = state.classes[class as usize].waiters.len();
         if waiting >= self.limits.waiting as usize {
-            let wait = state.held_ms * waiting as f64 / f64::from(places);
+            let wait = state.occupancy_ms * waiting as f64 / f64::from(slots);
             let retry_after = Duration::from_millis(wait.max(100.0) as u64);
             return Err(ShedRequestError::QueueFull { retry_after });
         }
@@ -185,14 +185,14 @@
         let tag = start + 1.0 / f64::from(weight.max(1));
         queue.tags.insert(organisation.clone(), tag);
         queue.waiters.push(Waiter { id, tag, deadline, grant });
-        Ok(Entry::Waits(id, granted))
+        Ok(Entry::Queued(id, granted))
     }
 
     fn release(&self, since: Instant) {
         let now = Instant::now();
         let mut state = self.lock();
-        let held = now.saturating_duration_since(since).as_millis() as f64;
-        state.held_ms += (held - state.held_ms) * SMOOTHING;
+        let occupancy = now.saturating_duration_since(since).as_millis() as f64;
+        state.occupancy_ms += (occupancy - state.occupancy_ms) * SMOOTHING;
         state.used = state.used.saturating_sub(1);
         self.grant_next(&mut state, now);
     }
@@ -200,7 +200,7 @@
     /// Gives free places to waiters, most urgent class first.
     fn grant_next(&self, state: &mut QueueState, now: Instant) {
         for class in [Urgency::Urgent, Urgency::Normal, Urgency::Batch] {
-            while state.used < self.places_for(class) {
+            while state.used < self.slots_for(class) {
                 let queue = &mut state.classes[class as usize];
                 let first = queue
                     .waiters
@@ -236,8 +236,8 @@
 }
 
 enum Entry {
-    Placed(AdmissionTicket),
-    Waits(u64, oneshot::Receiver<()>),
+    Admitted(AdmissionTicket),
+    Queued(u64, oneshot::Receiver<()>),
 }
 
 /// Takes a waiter out of the queue when its request is given up.
--- a/crates/routing/src/burst.rs
+++ b/crates/routing/src/burst.rs
@@ -21,34 +21,34 @@
 
 /// Upstreams that end under a request within one moment, from which on it is suspected. Two are
 /// often lost together, by chance or with their rack.
-const LEAST_ENDED: usize = 3;
+const MIN_TERMINATIONS: usize = 3;
 /// Time before and after an end that is one moment: copies that are sent together end their upstreams
 /// within it, unless these work on them for more than a second before. Two losses are further apart.
-const MOMENT: Duration = Duration::from_millis(300);
+const BURST_WINDOW: Duration = Duration::from_millis(300);
 /// Part of all upstreams that ended in that moment which had the request under way. More than one
 /// such request may come at once, and something else may be lost meanwhile.
-const LEAST_COVERED: f64 = 0.3;
+const MIN_COVERAGE: f64 = 0.3;
 /// How many times further apart than their ends the lengths of runs are, where all were broken off
 /// by one event.
-const COMMON_END_PART: u32 = 2;
+const LENGTH_SPREAD_RATIO: u32 = 2;
 /// Difference between the lengths of runs below which it says nothing: all were sent together.
-const LEAST_APART: Duration = Duration::from_millis(60);
+const MIN_LENGTH_SPREAD: Duration = Duration::from_millis(60);
 /// Most ends kept, about 40 KB; more than all upstreams that are lost within an hour in a fleet of
 /// the size that is planned for, a lost zone included.
-const MOST_ENDS: usize = 1024;
+const MAX_TERMINATIONS: usize = 1024;
 
 /// When upstreams were seen to end, whatever was under way there.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UpstreamEnds {
+pub(crate) struct UpstreamTerminations {
     at: HashMap<u64, Instant>,
 }
 
-impl UpstreamEnds {
+impl UpstreamTerminations {
     /// Notes an end; the earliest time that was told counts.
     pub(crate) fn record(&mut self, upstream: u64, ended: Instant) {
         let at = self.at.entry(upstream).or_insert(ended);
         *at = ended.min(*at);
-        if self.at.len() > MOST_ENDS {
+        if self.at.len() > MAX_TERMINATIONS {
             let oldest = self.at.iter().min_by_key(|(_, at)| **at).map(|(upstream, _)| *upstream);
             oldest.map(|upstream| self.at.remove(&upstream));
         }
@@ -66,32 +66,35 @@
 }
 
 /// When the first burst of a request was over, if it came in one; each run is at another upstream.
-pub(crate) fn find_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> Option<Instant> {
-    let moments = runs.iter().map(|run| runs_beside(runs, run.ended));
-    let bursts = moments.filter(|moment| is_burst(moment, ends));
+pub(crate) fn find_burst(
+    runs: &[TerminatedRun],
+    terminations: &UpstreamTerminations,
+) -> Option<Instant> {
+    let windows = runs.iter().map(|run| runs_around(runs, run.ended));
+    let bursts = windows.filter(|window| is_burst(window, terminations));
     bursts.filter_map(|burst| burst.iter().map(|run| run.ended).max()).min()
 }
 
 /// Runs that ended at about this time.
-fn runs_beside(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
-    let apart = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
-    runs.iter().filter(|run| apart(run) <= MOMENT).copied().collect()
+fn runs_around(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
+    let distance = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
+    runs.iter().filter(|run| distance(run) <= BURST_WINDOW).copied().collect()
 }
 
-fn is_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> bool {
+fn is_burst(runs: &[TerminatedRun], terminations: &UpstreamTerminations) -> bool {
     let ended = runs.iter().map(|run| run.ended);
     let Some((first, last)) = ended.clone().min().zip(ended.max()) else { return false };
-    let covered = runs.len() as f64 >= ends.count(first, last) as f64 * LEAST_COVERED;
-    runs.len() >= LEAST_ENDED && covered && !is_common_end(runs)
+    let covered = runs.len() as f64 >= terminations.count(first, last) as f64 * MIN_COVERAGE;
+    runs.len() >= MIN_TERMINATIONS && covered && !is_common_cause(runs)
 }
 
 /// Whether runs ended together although they were sent apart, as what a loss breaks off. Under a
 /// request that ends upstreams they end as far apart as they were sent, or further.
-fn is_common_end(runs: &[TerminatedRun]) -> bool {
+fn is_common_cause(runs: &[TerminatedRun]) -> bool {
     let ends = runs.iter().map(|run| run.ended);
     let lengths = runs.iter().map(|run| run.ended.saturating_duration_since(run.sent));
-    let ends_apart = ends.clone().max().zip(ends.min()).map(|(last, first)| last - first);
-    let lengths_apart = lengths.clone().max().zip(lengths.min()).map(|(most, least)| most - least);
-    let (Some(ends), Some(lengths)) = (ends_apart, lengths_apart) else { return false };
-    lengths > LEAST_APART && ends * COMMON_END_PART < lengths
+    let end_spread = ends.clone().max().zip(ends.min()).map(|(last, first)| last - first);
+    let length_spread = lengths.clone().max().zip(lengths.min()).map(|(most, least)| most - least);
+    let (Some(end_spread), Some(length_spread)) = (end_spread, length_spread) else { return false };
+    length_spread > MIN_LENGTH_SPREAD && end_spread * LENGTH_SPREAD_RATIO < length_spread
 }
--- a/crates/routing/src/config_freshness.rs
+++ b/crates/routing/src/config_freshness.rs
@@ -20,8 +20,8 @@
 impl ConfigFreshness {
     /// Whether what this configuration does not have is in none that has to be in force, where the
     /// leader's word holds for so long.
-    pub fn is_current(&self, trust: Duration) -> bool {
-        let recent = self.confirmation_age.is_some_and(|age| age <= trust);
+    pub fn is_current(&self, validity: Duration) -> bool {
+        let recent = self.confirmation_age.is_some_and(|age| age <= validity);
         recent && self.version >= self.known
     }
 }
--- a/crates/routing/src/copies.rs
+++ b/crates/routing/src/copies.rs
@@ -24,7 +24,7 @@
 
 /// Time in which daemons hear what others have seen of a request: two messages and a view, each
 /// sent at least every 90 ms, and as much again for machines that are busy.
-const NEWS_TIME: Duration = Duration::from_millis(600);
+const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
 /// Whether a copy may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,8 +36,8 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct CopyEntry {
-    under_way: u32,
+struct DuplicateEntry {
+    in_progress: u32,
     /// Whether others have come while one was under way or awaited news.
     has_others: bool,
     /// Whether something of an answer has come.
@@ -45,7 +45,7 @@
     paused_until: Option<Instant>,
 }
 
-impl CopyEntry {
+impl DuplicateEntry {
     fn pause(&self, now: Instant) -> Option<Instant> {
         self.paused_until.filter(|until| now < *until)
     }
@@ -54,7 +54,7 @@
 /// Copies under way, by request.
 #[derive(Clone, Debug, Default)]
 pub struct DuplicateLimiter {
-    entries: HashMap<RequestDigest, CopyEntry>,
+    entries: HashMap<RequestDigest, DuplicateEntry>,
     /// Entries that are kept for a pause, in the order in which these end.
     paused: VecDeque<(Instant, RequestDigest)>,
 }
@@ -75,12 +75,12 @@
                 entry.has_others = true;
                 return DuplicateStep::Wait(Some(until));
             }
-            if entry.under_way > 0 {
+            if entry.in_progress > 0 {
                 entry.has_others = true;
                 return DuplicateStep::Wait(None);
             }
         }
-        entry.under_way += 1;
+        entry.in_progress += 1;
         DuplicateStep::Go
     }
 
@@ -98,7 +98,7 @@
         if entry.proven || !entry.has_others {
             return None;
         }
-        let until = now + NEWS_TIME;
+        let until = now + PROPAGATION_TIME;
         entry.paused_until = Some(until);
         self.paused.push_back((until, request));
         Some(until)
@@ -107,8 +107,8 @@
     /// Notes that a copy is not under way any more.
     pub fn end(&mut self, request: RequestDigest, now: Instant) {
         if let Some(entry) = self.entries.get_mut(&request) {
-            entry.under_way = entry.under_way.saturating_sub(1);
-            if entry.under_way == 0 && entry.pause(now).is_none() {
+            entry.in_progress = entry.in_progress.saturating_sub(1);
+            if entry.in_progress == 0 && entry.pause(now).is_none() {
                 self.entries.remove(&request);
             }
         }
@@ -130,7 +130,8 @@
                 return;
             }
             self.paused.pop_front();
-            let idle = |entry: &CopyEntry| entry.under_way == 0 && entry.pause(now).is_none();
+            let idle =
+                |entry: &DuplicateEntry| entry.in_progress == 0 && entry.pause(now).is_none();
             if self.entries.get(&request).is_some_and(idle) {
                 self.entries.remove(&request);
             }
--- a/crates/routing/src/crash_tracker.rs
+++ b/crates/routing/src/crash_tracker.rs
@@ -13,7 +13,7 @@
 
 /// Answers that are remembered, about 0.2 MB: those of a minute at 70 requests a second, the
 /// busiest daemon at the size that is planned for.
-const MOST_ANSWERS: usize = 4096;
+const MAX_ANSWERS: usize = 4096;
 
 /// When requests were last answered whole here; the oldest are forgotten first.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     fn record(&mut self, request: RequestDigest, now: Instant) {
         self.at.insert(request, now);
         self.order.push_back((request, now));
-        while self.order.len() > MOST_ANSWERS {
+        while self.order.len() > MAX_ANSWERS {
             let Some((oldest, at)) = self.order.pop_front() else { return };
             if self.at.get(&oldest) == Some(&at) {
                 self.at.remove(&oldest);
--- a/crates/routing/src/crashes.rs
+++ b/crates/routing/src/crashes.rs
@@ -20,60 +20,60 @@
 use hollowbarrow_schema::{CrashRecord, CrashedRun, HeldRequest, RequestDigest};
 use tokio::time::Instant;
 
-use crate::burst::{UpstreamEnds, find_burst};
+use crate::burst::{UpstreamTerminations, find_burst};
 
 /// When a request is held.
 #[derive(Clone, Copy, Debug)]
-struct HoldRule {
+struct QuarantineRule {
     /// Runs one after the other, each ended with its upstream, after which it is held.
     runs: usize,
     /// Time for which it is held after the last of them; each further run doubles it.
-    first_hold: Duration,
+    base: Duration,
 }
 
 /// For a request that was never answered. With two runs a request that was broken off twice by
 /// others would lose its caller's repeat; each one more costs a replica. Each end of a hold may
 /// cost a replica again, which takes half a minute to load elsewhere.
-const NEVER_ANSWERED: HoldRule = HoldRule { runs: 3, first_hold: Duration::from_secs(120) };
+const NEVER_ANSWERED: QuarantineRule = QuarantineRule { runs: 3, base: Duration::from_secs(120) };
 /// For a request that was never answered and came in a burst: a short hold, since everything may
 /// have been lost at once. It ends with one copy more, which is answered or proves the suspicion.
-const BURST_HOLD: Duration = Duration::from_secs(10);
+const BURST_QUARANTINE: Duration = Duration::from_secs(10);
 /// Time for which a daemon must have watched before the first run of a request to know that it was
 /// not answered: what is asked for often is answered in it.
-const WATCH_TIME: Duration = Duration::from_secs(10);
+const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(10);
 /// For a request of which nobody who is left may know whether it was answered. After all who had
 /// seen it answered had ended, one was refused for two minutes that heads had ended under in turn;
 /// a shorter hold ends with one copy, whose answer clears it, or costs one more replica.
-const UNWATCHED: HoldRule = HoldRule { runs: 3, first_hold: Duration::from_secs(30) };
+const UNOBSERVED: QuarantineRule = QuarantineRule { runs: 3, base: Duration::from_secs(30) };
 /// For a request that was answered before. Where many callers send it alike, it is under way at
 /// every upstream that ends: while requests ended replica after replica, another one that was
 /// answered ten times a second was broken off three times in turn, and then refused 725 times in a
 /// minute. A short hold lets it be tried, and the first answer clears it.
-const ANSWERED_BEFORE: HoldRule = HoldRule { runs: 6, first_hold: Duration::from_secs(10) };
+const ANSWERED_BEFORE: QuarantineRule = QuarantineRule { runs: 6, base: Duration::from_secs(10) };
 /// Longest time for which a request is held after its last run.
-const LONGEST_HOLD: Duration = Duration::from_secs(16 * 60);
+const MAX_QUARANTINE: Duration = Duration::from_secs(16 * 60);
 /// Time after which a run counts no more: what ran then, or what it ran on, may have changed.
 const RETENTION: Duration = Duration::from_secs(60 * 60);
 /// Doublings that take the shortest hold to the longest.
-const MOST_DOUBLINGS: u32 = 7;
+const MAX_DOUBLINGS: u32 = 7;
 /// Most runs kept of a request: as many as take it to the longest hold.
-const MOST_RUNS: usize = 14;
+const MAX_RUNS: usize = 14;
 /// Most requests kept, about 1 MB.
-const MOST_REQUESTS: usize = 4096;
+const MAX_REQUESTS: usize = 4096;
 /// Part of them that is dropped at once where there are more, so that not each one costs a look at
 /// all others.
-const ROOM_PART: usize = 8;
+const EVICTION_DIVISOR: usize = 8;
 /// Most records told at once, so that many broken requests at once cost 2.4 KB a message at most
 /// (16 with three runs each, as encoded).
-const MOST_TOLD: usize = 16;
+const MAX_SENT_RECORDS: usize = 16;
 /// Most held requests told at once.
-const MOST_HELD: usize = 64;
+const MAX_SENT_QUARANTINES: usize = 64;
 /// Time after its end for which a request's only run is told again. A storm breaks thousands of
 /// requests off once, and those are told to nobody who needs them later: told for an hour, 430 of
 /// them took 32 KB a second of a gateway's 4.
-const SINGLE_RUN_TIME: Duration = Duration::from_secs(10);
+const SINGLE_RUN_RESEND_TIME: Duration = Duration::from_secs(10);
 /// Pause after which a record is told again, in case it was lost or whoever heard it has gone.
-const REPEAT_PAUSE: Duration = Duration::from_secs(2);
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How a request is held that is known to end upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -100,19 +100,19 @@
     runs: Vec<TerminatedRun>,
     answered: Option<Instant>,
     /// When it was last told of since it has changed.
-    told: Option<Instant>,
+    last_sent: Option<Instant>,
 }
 
 impl RequestEntry {
     /// Adds a run, or moves one to an earlier time; false where it is known.
     fn add_run(&mut self, run: TerminatedRun) -> bool {
-        match self.runs.iter_mut().find(|held| held.upstream == run.upstream) {
-            Some(held) if held.ended <= run.ended => return false,
-            Some(held) => *held = run,
+        match self.runs.iter_mut().find(|known| known.upstream == run.upstream) {
+            Some(known) if known.ended <= run.ended => return false,
+            Some(known) => *known = run,
             None => self.runs.push(run),
         }
         self.runs.sort_by_key(|run| run.ended);
-        let surplus = self.runs.len().saturating_sub(MOST_RUNS);
+        let surplus = self.runs.len().saturating_sub(MAX_RUNS);
         self.runs.drain(..surplus);
         true
     }
@@ -142,57 +142,59 @@
     }
 
     /// Orders requests by how likely they end upstreams, and those alike by how new that is.
-    fn rank(&self) -> (usize, usize, Option<Instant>) {
+    fn suspicion(&self) -> (usize, usize, Option<Instant>) {
         (self.chain(), self.runs.len(), self.last_end())
     }
 
     /// Whether others are to be told of it now: of what is new, and now and then of the rest.
     fn is_due(&self, now: Instant) -> bool {
-        let Some(told) = self.told else { return true };
+        let Some(last_sent) = self.last_sent else { return true };
         let within = |at: Instant, time: Duration| now.saturating_duration_since(at) < time;
-        let fresh = self.last_end().is_some_and(|ended| within(ended, SINGLE_RUN_TIME));
-        !within(told, REPEAT_PAUSE) && (fresh || self.runs.len() > 1)
+        let fresh = self.last_end().is_some_and(|ended| within(ended, SINGLE_RUN_RESEND_TIME));
+        !within(last_sent, RESEND_INTERVAL) && (fresh || self.runs.len() > 1)
     }
 
     /// Until when the request is held; none where it is not known to end upstreams.
-    fn held_until(&self, ledger: &CrashLedger) -> Option<Instant> {
-        let hold = self.hold_by_order(ledger).max(self.hold_by_burst(&ledger.ends))?;
-        self.last_end().map(|ended| ended + hold.min(LONGEST_HOLD))
+    fn quarantined_until(&self, ledger: &CrashLedger) -> Option<Instant> {
+        let quarantine = self
+            .quarantine_by_sequence(ledger)
+            .max(self.quarantine_by_burst(&ledger.terminations))?;
+        self.last_end().map(|ended| ended + quarantine.min(MAX_QUARANTINE))
     }
 
     /// For how long runs that followed each other hold the request.
-    fn hold_by_order(&self, ledger: &CrashLedger) -> Option<Duration> {
+    fn quarantine_by_sequence(&self, ledger: &CrashLedger) -> Option<Duration> {
         let rule = match (self.answered, self.runs.first()) {
             (Some(_), _) => ANSWERED_BEFORE,
-            (None, Some(first)) if !ledger.had_watched(first.sent) => UNWATCHED,
+            (None, Some(first)) if !ledger.was_observing(first.sent) => UNOBSERVED,
             (None, _) => NEVER_ANSWERED,
         };
         let beyond = self.chain().checked_sub(rule.runs)?;
-        Some(doubled(rule.first_hold, beyond))
+        Some(doubled(rule.base, beyond))
     }
 
     /// For how long a burst holds the request, and what has followed it.
-    fn hold_by_burst(&self, ends: &UpstreamEnds) -> Option<Duration> {
+    fn quarantine_by_burst(&self, terminations: &UpstreamTerminations) -> Option<Duration> {
         if self.answered.is_some() {
             return None;
         }
-        let burst = find_burst(&self.runs, ends)?;
-        Some(doubled(BURST_HOLD, self.chain_since(Some(burst))))
+        let burst = find_burst(&self.runs, terminations)?;
+        Some(doubled(BURST_QUARANTINE, self.chain_since(Some(burst))))
     }
 }
 
 /// A hold after so many runs beyond those that it takes.
 fn doubled(first: Duration, beyond: usize) -> Duration {
-    first * 2u32.pow(u32::try_from(beyond).unwrap_or(u32::MAX).min(MOST_DOUBLINGS))
+    first * 2u32.pow(u32::try_from(beyond).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
 }
 
 /// Requests under which upstreams have ended.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<RequestDigest, RequestEntry>,
-    ends: UpstreamEnds,
+    terminations: UpstreamTerminations,
     /// Since when this daemon and others have told it of answers; none if they always have.
-    watches_since: Option<Instant>,
+    observing_since: Option<Instant>,
 }
 
 impl CrashLedger {
@@ -202,24 +204,24 @@
     }
 
     /// Sets since when answers would have been heard of.
-    pub fn with_watch_since(mut self, since: Instant) -> Self {
-        self.watches_since = Some(since);
+    pub fn with_observation_since(mut self, since: Instant) -> Self {
+        self.observing_since = Some(since);
         self
     }
 
     /// Whether answers for a while before this moment would be known.
-    fn had_watched(&self, at: Instant) -> bool {
-        self.watches_since.is_none_or(|since| since + WATCH_TIME <= at)
+    fn was_observing(&self, at: Instant) -> bool {
+        self.observing_since.is_none_or(|since| since + MIN_OBSERVATION_TIME <= at)
     }
 
     /// Notes that an upstream ended while it ran a request.
     pub fn record_run(&mut self, request: RequestDigest, run: TerminatedRun) {
-        self.ends.record(run.upstream, run.ended);
+        self.terminations.record(run.upstream, run.ended);
         let entry = self.requests.entry(request).or_default();
         if entry.add_run(run) {
-            entry.told = None;
+            entry.last_sent = None;
         }
-        self.make_room();
+        self.evict_surplus();
     }
 
     /// Notes that a request was answered whole. One of which nothing is known is passed over.
@@ -232,7 +234,7 @@
     /// Notes that a request which another daemon suspects was answered whole here.
     pub fn contradict(&mut self, request: RequestDigest, answered: Instant) {
         set_answered(self.requests.entry(request).or_default(), answered);
-        self.make_room();
+        self.evict_surplus();
     }
 
     /// Takes in what another daemon told.
@@ -241,19 +243,19 @@
             let entry = self.requests.entry(record.request).or_default();
             let mut changed = false;
             for run in &record.runs {
-                let times = (ago(run.sent_ms, now), ago(run.ended_ms, now));
+                let times = (time_before(run.sent_ms, now), time_before(run.ended_ms, now));
                 let (Some(sent), Some(ended)) = times else { continue };
-                self.ends.record(run.upstream, ended);
+                self.terminations.record(run.upstream, ended);
                 changed |= entry.add_run(TerminatedRun { upstream: run.upstream, sent, ended });
             }
             if changed {
-                entry.told = None;
+                entry.last_sent = None;
             }
-            if let Some(answered) = record.answered_ms.and_then(|ms| ago(ms, now)) {
+            if let Some(answered) = record.answered_ms.and_then(|ms| time_before(ms, now)) {
                 set_answered(entry, answered);
             }
         }
-        self.make_room();
+        self.evict_surplus();
     }
 
     /// For how long a request is to be sent to no upstream; none where it may be.
@@ -270,7 +272,7 @@
         request: RequestDigest,
         now: Instant,
     ) -> Option<QuarantineState> {
-        let until = self.requests.get(&request)?.held_until(self)?;
+        let until = self.requests.get(&request)?.quarantined_until(self)?;
         Some(match until.checked_duration_since(now) {
             Some(left) if !left.is_zero() => QuarantineState::Active(left),
             _ => QuarantineState::Expired(now.saturating_duration_since(until)),
@@ -280,17 +282,17 @@
     /// Requests that are known to end upstreams, the latest first.
     pub fn quarantined(&self, now: Instant) -> Vec<HeldRequest> {
         let known = |(request, entry): (&RequestDigest, &RequestEntry)| {
-            Some((entry.held_until(self)?, *request))
+            Some((entry.quarantined_until(self)?, *request))
         };
-        let mut held: Vec<_> = self.requests.iter().filter_map(known).collect();
-        held.sort_by(|a, b| b.cmp(a));
-        held.truncate(MOST_HELD);
-        let told = |(until, request): (Instant, RequestDigest)| HeldRequest {
+        let mut quarantined: Vec<_> = self.requests.iter().filter_map(known).collect();
+        quarantined.sort_by(|a, b| b.cmp(a));
+        quarantined.truncate(MAX_SENT_QUARANTINES);
+        let to_message = |(until, request): (Instant, RequestDigest)| HeldRequest {
             request,
             left_ms: to_ms(until.saturating_duration_since(now)),
             released_ms: None,
         };
-        held.into_iter().map(told).collect()
+        quarantined.into_iter().map(to_message).collect()
     }
 
     /// Records to tell others now: those that have changed, and those not told for a while.
@@ -298,11 +300,11 @@
         let mut due: Vec<_> =
             self.requests.iter_mut().filter(|(_, entry)| entry.is_due(now)).collect();
         // Those that are likest to be held first, and of these the newest.
-        due.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.rank()));
-        due.truncate(MOST_TOLD);
+        due.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.suspicion()));
+        due.truncate(MAX_SENT_RECORDS);
         let mut records = Vec::with_capacity(due.len());
         for (request, entry) in due {
-            entry.told = Some(now);
+            entry.last_sent = Some(now);
             records.push(to_record(*request, entry, now));
         }
         records
@@ -311,7 +313,7 @@
     /// Forgets runs of long ago.
     pub fn prune(&mut self, now: Instant) {
         let recent = |at: Instant| now.saturating_duration_since(at) < RETENTION;
-        self.ends.prune(recent);
+        self.terminations.prune(recent);
         self.requests.retain(|_, entry| {
             entry.runs.retain(|run| recent(run.ended));
             !entry.runs.is_empty() || entry.answered.is_some_and(recent)
@@ -329,14 +331,15 @@
     }
 
     /// Drops the requests that matter least where there are too many, several at once.
-    fn make_room(&mut self) {
-        if self.requests.len() <= MOST_REQUESTS {
+    fn evict_surplus(&mut self) {
+        if self.requests.len() <= MAX_REQUESTS {
             return;
         }
-        let rank = |(request, entry): (&RequestDigest, &RequestEntry)| (entry.rank(), *request);
-        let mut ranks: Vec<_> = self.requests.iter().map(rank).collect();
-        ranks.sort_unstable();
-        for (_, request) in ranks.iter().take(MOST_REQUESTS / ROOM_PART) {
+        let suspicion =
+            |(request, entry): (&RequestDigest, &RequestEntry)| (entry.suspicion(), *request);
+        let mut suspicions: Vec<_> = self.requests.iter().map(suspicion).collect();
+        suspicions.sort_unstable();
+        for (_, request) in suspicions.iter().take(MAX_REQUESTS / EVICTION_DIVISOR) {
             self.requests.remove(request);
         }
     }
@@ -349,20 +352,20 @@
         || entry.runs.iter().any(|run| run.ended <= at && entry.answered < Some(run.ended));
     entry.answered = entry.answered.max(Some(at));
     if matters {
-        entry.told = None;
+        entry.last_sent = None;
     }
 }
 
 fn to_record(request: RequestDigest, entry: &RequestEntry, now: Instant) -> CrashRecord {
     let age = |at: Instant| to_ms(now.saturating_duration_since(at));
-    let told = |run: &TerminatedRun| CrashedRun {
+    let to_message = |run: &TerminatedRun| CrashedRun {
         upstream: run.upstream,
         sent_ms: age(run.sent),
         ended_ms: age(run.ended),
     };
     CrashRecord {
         request,
-        runs: entry.runs.iter().map(told).collect(),
+        runs: entry.runs.iter().map(to_message).collect(),
         answered_ms: entry.answered.map(age),
     }
 }
@@ -371,6 +374,6 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn ago(ms: u32, now: Instant) -> Option<Instant> {
+fn time_before(ms: u32, now: Instant) -> Option<Instant> {
     now.checked_sub(Duration::from_millis(ms.into()))
 }
--- a/crates/routing/src/limit_coordinator.rs
+++ b/crates/routing/src/limit_coordinator.rs
@@ -14,23 +14,23 @@
 use tokio::time::Instant;
 
 use crate::limit_table::LimitTable;
-use crate::limits::{from_told, to_told};
+use crate::limits::{from_message, to_message};
 use crate::permits::{IssuedPermits, PermitIssuer};
 
 /// Time for which daemons are told that an upstream names no limit any more.
-const ENDED_TIME: Duration = Duration::from_secs(10);
+const ENDED_RETENTION: Duration = Duration::from_secs(10);
 /// Pause between two times that all daemons are told of limits, unless one has changed. Daemons keep
 /// what they were told for three times as long.
-const TOLD_INTERVAL: Duration = Duration::from_millis(900);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Limits of upstreams as all daemons heard them, and what is issued.
 #[derive(Clone, Debug, Default)]
 pub struct LimitCoordinator {
     term: Term,
-    words: LimitTable<String>,
+    notices: LimitTable<String>,
     issuer: PermitIssuer,
     /// When all daemons were last told of limits; none where one has changed since.
-    told: Option<Instant>,
+    published: Option<Instant>,
 }
 
 /// What follows from what a daemon told.
@@ -58,12 +58,12 @@
     /// Takes in what a daemon tells.
     pub fn handle_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Instant) -> AskOutcome {
         let mut changed = Vec::new();
-        for told in &ask.limits {
-            if self.words.record(&told.upstream, from_told(told, now)) {
-                let limit = self.words.limit(&told.upstream);
-                self.issuer.set_limit(&told.upstream, limit, now);
-                changed.push((told.upstream.clone(), limit));
-                self.told = None;
+        for reported in &ask.limits {
+            if self.notices.record(&reported.upstream, from_message(reported, now)) {
+                let limit = self.notices.limit(&reported.upstream);
+                self.issuer.set_limit(&reported.upstream, limit, now);
+                changed.push((reported.upstream.clone(), limit));
+                self.published = None;
             }
         }
         for need in &ask.needs {
@@ -77,17 +77,17 @@
             let upstream = need.upstream.clone();
             answer.terms.push(PermitTerms { upstream, issued: 0, wait_ms });
         }
-        answer.limits = self.told_of(ask, now);
+        answer.limits = self.known_limits(ask, now);
         AskOutcome { changed, grants }
     }
 
     /// What is known of the upstreams that a daemon tells of or asks for.
-    fn told_of(&self, ask: &PermitAsk, now: Instant) -> Vec<UpstreamLimit> {
-        let told = ask.limits.iter().map(|told| told.upstream.as_str());
+    fn known_limits(&self, ask: &PermitAsk, now: Instant) -> Vec<UpstreamLimit> {
+        let reported = ask.limits.iter().map(|limit| limit.upstream.as_str());
         let needed = ask.needs.iter().map(|need| need.upstream.as_str());
-        let names: BTreeSet<&str> = told.chain(needed).collect();
-        let known = names.into_iter().filter_map(|name| Some((name, self.words.notice(name)?)));
-        known.map(|(name, word)| to_told(name, word, now)).collect()
+        let names: BTreeSet<&str> = reported.chain(needed).collect();
+        let known = names.into_iter().filter_map(|name| Some((name, self.notices.notice(name)?)));
+        known.map(|(name, notice)| to_message(name, notice, now)).collect()
     }
 
     /// Issues what can be issued now; what to send to whom.
@@ -102,26 +102,27 @@
 
     /// What all daemons are to be told of limits now; nothing where that was told a moment ago.
     pub fn due_limits(&mut self, now: Instant) -> Vec<UpstreamLimit> {
-        let recent = |at: Instant| now.saturating_duration_since(at) < TOLD_INTERVAL;
-        if self.told.is_some_and(recent) {
+        let recent = |at: Instant| now.saturating_duration_since(at) < PUBLISH_INTERVAL;
+        if self.published.is_some_and(recent) {
             return Vec::new();
         }
-        self.told = Some(now);
+        self.published = Some(now);
         self.published_limits(now)
     }
 
     /// What daemons are told of limits.
     pub fn published_limits(&self, now: Instant) -> Vec<UpstreamLimit> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let words = self.words.notices();
-        let counts =
-            words.filter(|(_, word)| word.limit.is_some() || age(word.span.came) < ENDED_TIME);
-        counts.map(|(upstream, word)| to_told(upstream, word, now)).collect()
+        let notices = self.notices.notices();
+        let current = notices.filter(|(_, notice)| {
+            notice.limit.is_some() || age(notice.span.came) < ENDED_RETENTION
+        });
+        current.map(|(upstream, notice)| to_message(upstream, notice, now)).collect()
     }
 
     /// Forgets upstreams that are not known any more.
     pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
-        self.words.prune(|upstream| known(upstream));
+        self.notices.prune(|upstream| known(upstream));
         self.issuer.prune(|upstream| known(upstream));
     }
 }
--- a/crates/routing/src/limit_table.rs
+++ b/crates/routing/src/limit_table.rs
@@ -46,30 +46,30 @@
     /// Whether this word allows less than another.
     fn is_stricter(&self, other: &Self) -> bool {
         match (self.limit, other.limit) {
-            (Some(own), Some(other)) => own < other,
-            (own, other) => own.is_some() && other.is_none(),
+            (Some(this), Some(other)) => this < other,
+            (this, other) => this.is_some() && other.is_none(),
         }
     }
 
     /// Which of two words holds; the same word told later keeps the later span.
-    fn supersedes(&self, held: &Self) -> bool {
-        if held.is_after(self) {
+    fn supersedes(&self, current: &Self) -> bool {
+        if current.is_after(self) {
             return false;
         }
-        let confirms = self.limit == held.limit && self.span.came > held.span.came;
-        self.is_after(held) || self.is_stricter(held) || confirms
+        let confirms = self.limit == current.limit && self.span.came > current.span.came;
+        self.is_after(current) || self.is_stricter(current) || confirms
     }
 }
 
 /// The newest word of each upstream that has named a limit.
 #[derive(Clone, Debug)]
 pub struct LimitTable<K> {
-    words: HashMap<K, LimitNotice>,
+    notices: HashMap<K, LimitNotice>,
 }
 
 impl<K> Default for LimitTable<K> {
     fn default() -> Self {
-        Self { words: HashMap::new() }
+        Self { notices: HashMap::new() }
     }
 }
 
@@ -80,18 +80,18 @@
     }
 
     /// Takes a word in; true where the limit of the upstream is another one now.
-    pub fn record(&mut self, upstream: &K, word: LimitNotice) -> bool {
-        let held = self.words.get(upstream);
-        if held.map_or(word.limit.is_none(), |held| !word.supersedes(held)) {
+    pub fn record(&mut self, upstream: &K, notice: LimitNotice) -> bool {
+        let current = self.notices.get(upstream);
+        if current.map_or(notice.limit.is_none(), |current| !notice.supersedes(current)) {
             return false;
         }
-        let former = self.words.insert(upstream.clone(), word);
-        former.and_then(|former| former.limit) != word.limit
+        let former = self.notices.insert(upstream.clone(), notice);
+        former.and_then(|former| former.limit) != notice.limit
     }
 
     /// The limit of an upstream, if it has one now.
     pub fn limit(&self, upstream: &K) -> Option<RequestRate> {
-        self.words.get(upstream)?.limit
+        self.notices.get(upstream)?.limit
     }
 
     /// The newest word of an upstream, if it has ever named a limit.
@@ -100,26 +100,26 @@
         K: Borrow<Q>,
         Q: Eq + Hash + ?Sized,
     {
-        self.words.get(upstream)
+        self.notices.get(upstream)
     }
 
     /// The newest words of all upstreams that have ever named a limit.
     pub fn notices(&self) -> impl Iterator<Item = (&K, &LimitNotice)> {
-        self.words.iter()
+        self.notices.iter()
     }
 
     /// Forgets upstreams that are not known any more.
     pub fn prune(&mut self, known: impl Fn(&K) -> bool) {
-        self.words.retain(|upstream, _| known(upstream));
+        self.notices.retain(|upstream, _| known(upstream));
     }
 
     /// Number of upstreams kept.
     pub fn len(&self) -> usize {
-        self.words.len()
+        self.notices.len()
     }
 
     /// Whether nothing is kept.
     pub fn is_empty(&self) -> bool {
-        self.words.is_empty()
+        self.notices.is_empty()
     }
 }
--- a/crates/routing/src/limiter.rs
+++ b/crates/routing/src/limiter.rs
@@ -164,23 +164,23 @@
     pub fn zone_demand(
         &self,
         zone: &ZoneId,
-        but: &DaemonId,
+        except: &DaemonId,
         now: Instant,
     ) -> (u32, Vec<OrganisationUse>) {
         let buckets = self.buckets.lock().expect("no holder of the lock panics");
         let mut daemons = 1;
         let mut uses = Vec::new();
         for (id, bucket) in buckets.iter() {
-            let told = bucket.others.iter().filter(|(speaker, other)| {
+            let reported = bucket.others.iter().filter(|(sender, other)| {
                 other.daemons == 1
                     && other.zone == *zone
                     && other.is_fresh(now)
-                    && **speaker != **but
+                    && **sender != **except
             });
-            let told: Vec<&OtherDemand> = told.map(|(_, other)| other).collect();
-            daemons = 1 + u32::try_from(told.len()).unwrap_or(0);
+            let reported: Vec<&OtherDemand> = reported.map(|(_, other)| other).collect();
+            daemons = 1 + u32::try_from(reported.len()).unwrap_or(0);
             let demand =
-                bucket.decayed_demand(now) + told.iter().map(|other| other.demand).sum::<f64>();
+                bucket.decayed_demand(now) + reported.iter().map(|other| other.demand).sum::<f64>();
             if demand > 0.01 {
                 uses.push(OrganisationUse { o: id.clone(), r: demand });
             }
@@ -191,7 +191,7 @@
     /// Takes the word of another daemon, or of one for its whole zone, on demand.
     pub fn record_demand(
         &self,
-        speaker: &str,
+        sender: &str,
         zone: &ZoneId,
         daemons: u32,
         uses: &[OrganisationUse],
@@ -205,7 +205,7 @@
                 bucket.others.retain(|_, other| other.zone != *zone || other.daemons > 1);
             }
             let other = OtherDemand { zone: zone.clone(), daemons, demand, at: now };
-            bucket.others.insert(speaker.to_owned(), other);
+            bucket.others.insert(sender.to_owned(), other);
         }
     }
 }
@@ -220,15 +220,15 @@
     fn share(&self, daemons: f64, now: Instant) -> f64 {
         let fresh: Vec<&OtherDemand> =
             self.others.values().filter(|other| other.is_fresh(now)).collect();
-        let heard: u32 = fresh.iter().map(|other| other.daemons).sum();
+        let reporting: u32 = fresh.iter().map(|other| other.daemons).sum();
         let even = 1.0 / daemons;
         // Daemons that are not heard of may be using their even part.
-        let silent = (daemons - 1.0 - f64::from(heard)).max(0.0) * even;
-        let own = self.decayed_demand(now);
-        let total = own + fresh.iter().map(|other| other.demand).sum::<f64>();
-        let by_demand = if total > 0.0 { own / total } else { even };
+        let unreported = (daemons - 1.0 - f64::from(reporting)).max(0.0) * even;
+        let local = self.decayed_demand(now);
+        let total = local + fresh.iter().map(|other| other.demand).sum::<f64>();
+        let by_demand = if total > 0.0 { local / total } else { even };
         let floor = FLOOR_SHARE * even;
-        ((1.0 - silent) * (floor + (1.0 - FLOOR_SHARE) * by_demand)).max(floor)
+        ((1.0 - unreported) * (floor + (1.0 - FLOOR_SHARE) * by_demand)).max(floor)
     }
 
     fn admit(&mut self, cost: f64, daemons: f64, now: Instant) -> Result<(), LimitRequestError> {
@@ -238,8 +238,8 @@
         let rate = self.rate * share;
         let elapsed = now.saturating_duration_since(self.filled).as_secs_f64();
         self.filled = now;
-        let most = (rate * BURST_SECONDS).max(cost);
-        self.tokens = (self.tokens + elapsed * rate).min(most);
+        let max = (rate * BURST_SECONDS).max(cost);
+        self.tokens = (self.tokens + elapsed * rate).min(max);
         let limit = ((f64::from(self.concurrent) * share).ceil() as u32).max(1);
         if self.in_flight >= limit {
             return Err(LimitRequestError::TooMany { limit });
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -15,50 +15,50 @@
 use crate::permits::{Permit, PermitHolder};
 
 /// Time by which a word that another daemon told may be older than it seems.
-const TELLING_TIME: Duration = Duration::from_millis(200);
+const MAX_DELIVERY_TIME: Duration = Duration::from_millis(200);
 /// Time for which a word is kept that the leader tells no more: a new one hears of it meanwhile.
-const FORMER_TIME: Duration = Duration::from_secs(3);
+const PUBLISHED_RETENTION: Duration = Duration::from_secs(3);
 /// Pause between two messages to the leader about a limit that it does not seem to know.
-const NEWS_PAUSE: Duration = Duration::from_millis(250);
+const REPORT_PAUSE: Duration = Duration::from_millis(250);
 
 /// A word as it is told to another daemon.
-pub(crate) fn to_told(upstream: &str, word: &LimitNotice, now: Instant) -> UpstreamLimit {
+pub(crate) fn to_message(upstream: &str, notice: &LimitNotice, now: Instant) -> UpstreamLimit {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u32;
     UpstreamLimit {
         upstream: upstream.to_owned(),
-        limit: word.limit,
-        sent_ms: age(word.span.sent),
-        came_ms: age(word.span.came),
+        limit: notice.limit,
+        sent_ms: age(notice.span.sent),
+        came_ms: age(notice.span.came),
     }
 }
 
 /// A word that another daemon told; what it took to come here makes it seem newer than it is.
-pub(crate) fn from_told(told: &UpstreamLimit, now: Instant) -> LimitNotice {
+pub(crate) fn from_message(message: &UpstreamLimit, now: Instant) -> LimitNotice {
     let before = |ms: u32| now.checked_sub(Duration::from_millis(ms.into())).unwrap_or(now);
-    let came = before(told.came_ms);
-    let sent = before(told.sent_ms);
-    let sent = sent.checked_sub(TELLING_TIME).unwrap_or(sent);
-    LimitNotice { limit: told.limit, span: NoticeInterval { sent, came } }
+    let came = before(message.came_ms);
+    let sent = before(message.sent_ms);
+    let sent = sent.checked_sub(MAX_DELIVERY_TIME).unwrap_or(sent);
+    LimitNotice { limit: message.limit, span: NoticeInterval { sent, came } }
 }
 
 /// A word of the leader.
 #[derive(Clone, Copy, Debug)]
-struct LeaderWord {
-    word: LimitNotice,
+struct PublishedNotice {
+    notice: LimitNotice,
     /// When the leader last told it.
-    told: Instant,
+    received: Instant,
 }
 
 /// Limits of upstreams, and permits to send to them.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
-    own: LimitTable<String>,
-    told: HashMap<String, LeaderWord>,
+    local: LimitTable<String>,
+    published: HashMap<String, PublishedNotice>,
     holder: PermitHolder,
     /// When the leader was last told of a limit.
-    news: HashMap<String, Instant>,
+    reported: HashMap<String, Instant>,
     /// Requests that wait for a permit.
-    waiting: usize,
+    waiting_requests: usize,
 }
 
 impl UpstreamLimits {
@@ -66,11 +66,11 @@
     /// nobody issues permits.
     pub fn new(seed: u64) -> Self {
         Self {
-            own: LimitTable::new(),
-            told: HashMap::new(),
+            local: LimitTable::new(),
+            published: HashMap::new(),
             holder: PermitHolder::new(seed),
-            news: HashMap::new(),
-            waiting: 0,
+            reported: HashMap::new(),
+            waiting_requests: 0,
         }
     }
 
@@ -80,46 +80,49 @@
     }
 
     fn newest(&self, upstream: &str) -> Option<LimitNotice> {
-        let told = self.told.get(upstream).map(|told| told.word);
-        let own = self.own.notice(upstream);
-        match (own, told) {
-            (Some(own), Some(told)) if told.is_after(own) => Some(told),
-            (Some(own), _) => Some(*own),
-            (None, told) => told,
+        let published = self.published.get(upstream).map(|published| published.notice);
+        let local = self.local.notice(upstream);
+        match (local, published) {
+            (Some(local), Some(published)) if published.is_after(local) => Some(published),
+            (Some(local), _) => Some(*local),
+            (None, published) => published,
         }
     }
 
     /// Notes what the head of an answer said; true where the limit is another one now.
-    pub fn record_notice(&mut self, upstream: &str, word: LimitNotice) -> bool {
+    pub fn record_notice(&mut self, upstream: &str, notice: LimitNotice) -> bool {
         let former = self.limit(upstream);
         let name = upstream.to_owned();
-        if self.own.notice(upstream).is_none()
-            && let Some(told) = self.told.get(upstream)
+        if self.local.notice(upstream).is_none()
+            && let Some(published) = self.published.get(upstream)
         {
             // What others heard is what this daemon's own word ends.
-            self.own.record(&name, told.word);
+            self.local.record(&name, published.notice);
         }
-        self.own.record(&name, word);
+        self.local.record(&name, notice);
         if former != self.limit(upstream) {
-            self.news.remove(upstream);
+            self.reported.remove(upstream);
         }
-        self.note_change(upstream, former)
+        self.apply_change(upstream, former)
     }
 
     /// Takes in what the leader tells of limits.
     pub fn record_published(&mut self, limits: &[UpstreamLimit], now: Instant) {
-        for told in limits {
-            let former = self.limit(&told.upstream);
-            let word = from_told(told, now);
-            self.told.insert(told.upstream.clone(), LeaderWord { word, told: now });
-            self.note_change(&told.upstream, former);
+        for published in limits {
+            let former = self.limit(&published.upstream);
+            let notice = from_message(published, now);
+            self.published
+                .insert(published.upstream.clone(), PublishedNotice { notice, received: now });
+            self.apply_change(&published.upstream, former);
         }
-        let kept = |word: &LeaderWord| now.saturating_duration_since(word.told) < FORMER_TIME;
-        self.told.retain(|_, word| kept(word));
+        let kept = |notice: &PublishedNotice| {
+            now.saturating_duration_since(notice.received) < PUBLISHED_RETENTION
+        };
+        self.published.retain(|_, notice| kept(notice));
     }
 
     /// Drops permits that a lower limit would not have allowed; true where the limit has changed.
-    fn note_change(&mut self, upstream: &str, former: Option<RequestRate>) -> bool {
+    fn apply_change(&mut self, upstream: &str, former: Option<RequestRate>) -> bool {
         let limit = self.limit(upstream);
         let falls = match (former, limit) {
             (Some(former), Some(limit)) => limit < former,
@@ -132,9 +135,9 @@
     }
 
     /// Upstreams with a limit for which no permit is there, where so many daemons share them.
-    pub fn lacking(&mut self, daemons: u32, now: Instant) -> HashSet<String> {
+    pub fn without_permit(&mut self, daemons: u32, now: Instant) -> HashSet<String> {
         let names: HashSet<&String> =
-            self.own.notices().map(|(name, _)| name).chain(self.told.keys()).collect();
+            self.local.notices().map(|(name, _)| name).chain(self.published.keys()).collect();
         let limited: Vec<(String, RequestRate)> =
             names.into_iter().filter_map(|name| Some((name.clone(), self.limit(name)?))).collect();
         let lacks = |(name, limit): &(String, RequestRate)| {
@@ -165,11 +168,11 @@
         &mut self,
         upstreams: &[String],
         lifetime: Duration,
-        again: bool,
+        is_waiting: bool,
         now: Instant,
     ) -> bool {
         let needs: usize = upstreams.iter().map(|one| self.holder.count_needs(one, now)).sum();
-        if again && needs >= self.waiting {
+        if is_waiting && needs >= self.waiting_requests {
             return true;
         }
         let mut order: Vec<&String> = upstreams.iter().collect();
@@ -185,34 +188,34 @@
 
     /// Notes that a request begins to wait for a permit.
     pub fn begin_wait(&mut self) {
-        self.waiting += 1;
+        self.waiting_requests += 1;
     }
 
     /// Notes that a request waits no more.
     pub fn end_wait(&mut self) {
-        self.waiting = self.waiting.saturating_sub(1);
+        self.waiting_requests = self.waiting_requests.saturating_sub(1);
     }
 
     /// What to tell the leader now, if there is anything.
     pub fn due(&mut self, now: Instant) -> Option<PermitAsk> {
-        let limits = self.news_due(now);
+        let limits = self.due_notices(now);
         let needs: Vec<PermitNeed> = self.holder.due(now);
         (!limits.is_empty() || !needs.is_empty()).then_some(PermitAsk { limits, needs })
     }
 
     /// Limits that the leader does not seem to know.
-    fn news_due(&mut self, now: Instant) -> Vec<UpstreamLimit> {
+    fn due_notices(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let mut due = Vec::new();
-        for (name, own) in self.own.notices() {
-            let told = self.told.get(name).map(|told| told.word);
-            let known = told.and_then(|told| told.limit) == own.limit;
-            let paused = self.news.get(name).is_some_and(|at| *at + NEWS_PAUSE > now);
-            if known || paused || told.is_some_and(|told| told.is_after(own)) {
+        for (name, local) in self.local.notices() {
+            let published = self.published.get(name).map(|published| published.notice);
+            let known = published.and_then(|published| published.limit) == local.limit;
+            let paused = self.reported.get(name).is_some_and(|at| *at + REPORT_PAUSE > now);
+            if known || paused || published.is_some_and(|published| published.is_after(local)) {
                 continue;
             }
-            due.push(to_told(name, own, now));
+            due.push(to_message(name, local, now));
         }
-        self.news.extend(due.iter().map(|told| (told.upstream.clone(), now)));
+        self.reported.extend(due.iter().map(|limit| (limit.upstream.clone(), now)));
         due
     }
 
@@ -230,13 +233,13 @@
 
     /// Forgets upstreams that are not known any more.
     pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
-        self.own.prune(|name| known(name.as_str()));
-        self.news.retain(|name, _| known(name));
+        self.local.prune(|name| known(name.as_str()));
+        self.reported.retain(|name, _| known(name));
         let limited: HashSet<String> = self
-            .own
+            .local
             .notices()
             .map(|(name, _)| name.clone())
-            .chain(self.told.keys().cloned())
+            .chain(self.published.keys().cloned())
             .collect();
         self.holder.prune(|name| limited.contains(name));
     }
--- a/crates/routing/src/permits/issuer.rs
+++ b/crates/routing/src/permits/issuer.rs
@@ -11,7 +11,7 @@
 /// Seconds of a limit that may be issued at once.
 const BURST_SECONDS: f64 = 0.25;
 /// Permits that may be issued at once where that is less.
-const LEAST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 /// Time for a permit to reach the daemon that it is issued to.
 const DELIVERY_TIME: Duration = Duration::from_millis(10);
 
@@ -32,7 +32,7 @@
     daemon: DaemonId,
     count: u32,
     /// Until when they are of use.
-    end: Instant,
+    expires_at: Instant,
 }
 
 /// What is issued for one upstream.
@@ -58,8 +58,8 @@
     }
 
     fn add(&mut self, tokens: f64) {
-        let most = (self.per_s * BURST_SECONDS).max(LEAST_BURST);
-        self.tokens = (self.tokens + tokens).min(most);
+        let max = (self.per_s * BURST_SECONDS).max(MIN_BURST);
+        self.tokens = (self.tokens + tokens).min(max);
     }
 
     fn set_rate(&mut self, per_s: f64, now: Instant) {
@@ -71,13 +71,13 @@
     /// Takes the newest need of a daemon in.
     fn need(&mut self, need: PendingNeed) {
         self.needs.retain(|former| former.daemon != need.daemon);
-        let place = self.needs.partition_point(|other| other.end <= need.end);
-        self.needs.insert(place, need);
+        let position = self.needs.partition_point(|other| other.expires_at <= need.expires_at);
+        self.needs.insert(position, need);
     }
 
     /// Drops needs for which a permit would come too late.
-    fn drop_ended(&mut self, now: Instant) {
-        self.needs.retain(|need| need.count > 0 && now + DELIVERY_TIME < need.end);
+    fn drop_expired(&mut self, now: Instant) {
+        self.needs.retain(|need| need.count > 0 && now + DELIVERY_TIME < need.expires_at);
     }
 
     /// The daemon that gets the next permit: the one whose need ends first.
@@ -131,7 +131,11 @@
         bucket.fill(now);
         bucket.add(f64::from(need.returned));
         let lifetime = Duration::from_millis(need.lifetime_ms.into()).min(PERMIT_LIFETIME);
-        bucket.need(PendingNeed { daemon: daemon.clone(), count: need.count, end: now + lifetime });
+        bucket.need(PendingNeed {
+            daemon: daemon.clone(),
+            count: need.count,
+            expires_at: now + lifetime,
+        });
     }
 
     /// Issues what can be issued now.
@@ -139,7 +143,7 @@
         let mut issued: Vec<IssuedPermits> = Vec::new();
         for (upstream, bucket) in &mut self.buckets {
             bucket.fill(now);
-            bucket.drop_ended(now);
+            bucket.drop_expired(now);
             let first = issued.len();
             while let Some(daemon) = bucket.issue_one() {
                 match issued[first..].iter_mut().find(|issued| issued.daemon == daemon) {
--- a/crates/routing/src/permits/mod.rs
+++ b/crates/routing/src/permits/mod.rs
@@ -38,9 +38,9 @@
 pub const PERMIT_INTERVAL: Duration = Duration::from_millis(50);
 /// Lowest rate at which permits are issued, in requests a second: an upstream that gets no request
 /// cannot say that its limit has ended.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Permits a second for a limit.
 fn permits_per_s(limit: RequestRate) -> f64 {
-    (*limit as f64 / 1000.0).max(LEAST_RATE)
+    (*limit as f64 / 1000.0).max(MIN_RATE)
 }
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -133,7 +133,7 @@
         sent.saturating_sub(since(&tally.ended)).max(tally.in_flight)
     }
 
-    fn has_room(&self, candidate: &RouteCandidate) -> bool {
+    fn has_capacity(&self, candidate: &RouteCandidate) -> bool {
         self.tallies.get(&candidate.key).is_none_or(|tally| tally.in_flight < tally.limit.limit())
     }
 
@@ -145,14 +145,14 @@
         rng: &mut impl Rng,
     ) -> Option<RouteChoice> {
         let open: Vec<&RouteCandidate> =
-            candidates.iter().filter(|candidate| self.has_room(candidate)).collect();
+            candidates.iter().filter(|candidate| self.has_capacity(candidate)).collect();
         let pool = choose_pool(&open, rng)?.to_owned();
         let members: Vec<(&RouteCandidate, u32)> = open
             .into_iter()
             .filter(|candidate| candidate.pool == pool)
             .map(|candidate| (candidate, self.estimated_load(candidate)))
             .collect();
-        let near = self.prefer_own_zone(members);
+        let near = self.prefer_local_zone(members);
         if let Some(choice) = self.pick_by_prefix(&near, blocks) {
             return Some(choice);
         }
@@ -163,17 +163,17 @@
     }
 
     /// Keeps the own zone's candidates unless another zone's are less loaded by the margin.
-    fn prefer_own_zone<'a>(
+    fn prefer_local_zone<'a>(
         &self,
         members: Vec<(&'a RouteCandidate, u32)>,
     ) -> Vec<(&'a RouteCandidate, u32)> {
-        let is_own = |candidate: &RouteCandidate| candidate.zone.as_ref() == Some(&self.zone);
-        let least = |own: bool| {
-            members.iter().filter(|(c, _)| is_own(c) == own).map(|(_, load)| *load).min()
+        let is_local = |candidate: &RouteCandidate| candidate.zone.as_ref() == Some(&self.zone);
+        let least = |local: bool| {
+            members.iter().filter(|(c, _)| is_local(c) == local).map(|(_, load)| *load).min()
         };
         match (least(true), least(false)) {
-            (Some(own), Some(other)) if own <= other + self.rules.spill_margin => {
-                members.into_iter().filter(|(candidate, _)| is_own(candidate)).collect()
+            (Some(local), Some(other)) if local <= other + self.rules.spill_margin => {
+                members.into_iter().filter(|(candidate, _)| is_local(candidate)).collect()
             }
             _ => members,
         }
--- a/crates/routing/src/probes.rs
+++ b/crates/routing/src/probes.rs
@@ -14,13 +14,13 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Daemons for each one that may try at first, in the mean: two at once are seldom then.
-const FIRST_PART: u32 = 2;
+const INITIAL_DAEMONS_PER_PROBE: u32 = 2;
 /// Time after which twice as many may try: several windows, in which a request that comes often
 /// meets one that may, and in which all hear what came of it.
 const DOUBLING_TIME: Duration = Duration::from_secs(5);
 
 /// When a caller may come back whose request another daemon may be trying.
-const TRIAL_PAUSE: Duration = Duration::from_secs(1);
+const PROBE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// For how long a daemon sends a request to no upstream whose hold has been over for `over`; none
 /// where it may try. The other arguments are those of [`may_probe`].
@@ -29,9 +29,9 @@
     request: RequestDigest,
     window: u64,
     daemons: u32,
-    over: Duration,
+    expired_for: Duration,
 ) -> Option<Duration> {
-    (!may_probe(daemon, request, window, daemons, over)).then_some(TRIAL_PAUSE)
+    (!may_probe(daemon, request, window, daemons, expired_for)).then_some(PROBE_RETRY_AFTER)
 }
 
 /// Whether a daemon may send a request once more in this window; `daemon` tells it from the
@@ -41,13 +41,13 @@
     request: RequestDigest,
     window: u64,
     daemons: u32,
-    over: Duration,
+    expired_for: Duration,
 ) -> bool {
     if daemons <= 1 {
         return true;
     }
-    let doublings = over.as_secs() / DOUBLING_TIME.as_secs();
-    let parts = u64::from(daemons.saturating_mul(FIRST_PART));
+    let doublings = expired_for.as_secs() / DOUBLING_TIME.as_secs();
+    let parts = u64::from(daemons.saturating_mul(INITIAL_DAEMONS_PER_PROBE));
     let parts = parts.checked_shr(u32::try_from(doublings).unwrap_or(u32::MAX)).unwrap_or(0);
     let draw = xxh3_64_with_seed(&[request.to_le_bytes(), window.to_le_bytes()].concat(), daemon);
     parts <= 1 || draw.is_multiple_of(parts)
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-const ASKED: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
 fn after(start: Instant, ms: u64) -> Instant {
     start + Duration::from_millis(ms)
@@ -17,10 +17,10 @@
 #[case::later(2500, Some(500))]
 #[case::just_before(2999, Some(1))]
 #[case::over(3000, None)]
-fn reason_asked(#[case] ms: u64, #[case] left_ms: Option<u64>) {
+fn reason_requested(#[case] ms: u64, #[case] left_ms: Option<u64>) {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.record_backoff(&"a", ASKED, now);
+    table.record_backoff(&"a", BACKOFF, now);
     let left = left_ms.map(|ms| BackoffReason::Requested(Duration::from_millis(ms)));
     assert_eq!(table.reason(&"a", after(now, ms)), left);
     assert_eq!(table.reason(&"b", after(now, ms)), None, "it asked for nothing");
@@ -30,11 +30,11 @@
 #[rstest]
 #[case::shorter_later(&[(0, 3000), (500, 1000)], 3000)]
 #[case::longer_later(&[(0, 1000), (500, 3000)], 3500)]
-#[case::asked_again_at_its_end(&[(0, 1000), (1000, 1000)], 2000)]
-fn reason_never_shortened(#[case] asked: &[(u64, u64)], #[case] end_ms: u64) {
+#[case::requested_again_at_expiry(&[(0, 1000), (1000, 1000)], 2000)]
+fn reason_never_shortened(#[case] requests: &[(u64, u64)], #[case] end_ms: u64) {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    for (at, ms) in asked {
+    for (at, ms) in requests {
         table.record_backoff(&"a", Duration::from_millis(*ms), after(now, *at));
     }
     assert!(table.reason(&"a", after(now, end_ms - 1)).is_some());
@@ -42,10 +42,10 @@
 }
 
 #[rstest]
-fn reason_leaving_for_good() {
+fn reason_leaving_permanently() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
-    table.record_backoff(&"a", ASKED, now);
+    table.record_backoff(&"a", BACKOFF, now);
     assert!(table.record_leaving(&"a"), "it is news");
     assert!(!table.record_leaving(&"a"), "it is known");
     assert_eq!(table.reason(&"a", after(now, 86_400_000)), Some(BackoffReason::Leaving));
@@ -53,7 +53,7 @@
 
 /// A nonsense time does not take an upstream that works out of service for good.
 #[rstest]
-fn reason_asked_for_too_long() {
+fn reason_requested_too_long() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
     table.record_backoff(&"a", Duration::MAX, now);
@@ -63,11 +63,11 @@
 
 /// What is kept is bounded by the upstreams that are known.
 #[rstest]
-fn tidy_keeps_what_counts() {
+fn prune_keeps_active() {
     let now = Instant::now();
     let mut table = BackoffTable::new();
     table.record_backoff(&"over", Duration::from_secs(1), now);
-    table.record_backoff(&"asked", ASKED, now);
+    table.record_backoff(&"asked", BACKOFF, now);
     table.record_leaving(&"leaving");
     table.record_leaving(&"ended");
     table.prune(|upstream| *upstream != "ended", after(now, 1000));
--- a/crates/routing/tests/config_freshness.rs
+++ b/crates/routing/tests/config_freshness.rs
@@ -6,24 +6,27 @@
 use rstest::rstest;
 
 /// Time for which the leader's word holds.
-const TRUST: Duration = Duration::from_millis(1200);
+const VALIDITY: Duration = Duration::from_millis(1200);
 
 /// Gateways refused an acknowledged route with 404 for as long as no controller led: they held
 /// version 378, no leader had told them of any (`known=0 view_ms=none`), and 380 was in force.
 #[rstest]
-#[case::no_word(378, 0, None, false)]
-#[case::word_of_newer(378, 380, Some(90), false)]
-#[case::word_of_same(380, 380, Some(90), true)]
-#[case::newer_than_the_word(381, 380, Some(90), true)]
-#[case::word_of_a_while_ago(380, 380, Some(1_600), false)]
+#[case::no_confirmation(378, 0, None, false)]
+#[case::confirmed_newer(378, 380, Some(90), false)]
+#[case::confirmed_same(380, 380, Some(90), true)]
+#[case::newer_than_confirmed(381, 380, Some(90), true)]
+#[case::confirmation_expired(380, 380, Some(1_600), false)]
 #[case::nothing_in_force(0, 0, Some(90), true)]
 fn is_current(
     #[case] version: u64,
     #[case] known: u64,
-    #[case] word_ms: Option<u64>,
+    #[case] confirmation_ms: Option<u64>,
     #[case] current: bool,
 ) {
-    let facts =
-        ConfigFreshness { version, known, confirmation_age: word_ms.map(Duration::from_millis) };
-    assert_eq!(facts.is_current(TRUST), current);
+    let facts = ConfigFreshness {
+        version,
+        known,
+        confirmation_age: confirmation_ms.map(Duration::from_millis),
+    };
+    assert_eq!(facts.is_current(VALIDITY), current);
 }
--- a/crates/routing/tests/copies.rs
+++ b/crates/routing/tests/copies.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 const REQUEST: RequestDigest = RequestDigest(7);
-const NEWS_TIME: Duration = Duration::from_millis(600);
+const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 const WAIT: DuplicateStep = DuplicateStep::Wait(None);
 
 fn ms(time: u64) -> Duration {
@@ -45,7 +45,7 @@
     limiter.begin(REQUEST, false, now);
     limiter.begin(REQUEST, false, now);
     let until = limiter.record_crash(REQUEST, now + ms(40)).expect("there is another one");
-    assert_eq!(until, now + ms(40) + NEWS_TIME);
+    assert_eq!(until, now + ms(40) + PROPAGATION_TIME);
     limiter.end(REQUEST, now + ms(40));
     let paused = DuplicateStep::Wait(Some(until));
     assert_eq!(limiter.begin(REQUEST, false, now + ms(41)), paused);
@@ -56,7 +56,7 @@
 
 /// A request that comes once and is broken off goes on at once.
 #[rstest]
-fn note_ended_single_copy() {
+fn record_crash_single_request() {
     let now = Instant::now();
     let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-fn end_lets_next_go() {
+fn end_admits_next() {
     let now = Instant::now();
     let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
@@ -88,7 +88,7 @@
         limiter.end(request, now);
     }
     assert_eq!(limiter.len(), 1000);
-    limiter.begin(REQUEST, false, now + NEWS_TIME);
+    limiter.begin(REQUEST, false, now + PROPAGATION_TIME);
     assert_eq!(limiter.len(), 1);
 }
 
--- a/crates/routing/tests/crash_bursts.rs
+++ b/crates/routing/tests/crash_bursts.rs
@@ -24,17 +24,17 @@
 /// Time from the first event of a draw to the moment that matters.
 const LEAD_MS: f64 = 10_000.0;
 /// Other requests each second, each unlike all others.
-const OTHER_RATE: f64 = 40.0;
+const BACKGROUND_RATE: f64 = 40.0;
 /// Time that a request runs where nothing ends it.
 const RUN_MS: (f64, f64) = (100.0, 2000.0);
 /// Time within which all upstreams of a loss end.
 const LOSS_MS: f64 = 50.0;
 /// Time after the last end by which it is known everywhere.
-const NEWS_MS: f64 = 600.0;
+const PROPAGATION_MS: f64 = 600.0;
 /// Draws of each situation that did no harm.
-const INNOCENT_DRAWS: u64 = 10_000;
+const HARMLESS_DRAWS: u64 = 10_000;
 /// Draws of each situation with a request that ends upstreams.
-const GUILTY_DRAWS: u64 = 2_000;
+const CRASHING_DRAWS: u64 = 2_000;
 
 /// One run of the request or of another one, in milliseconds from the beginning of a draw.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
 
 /// What was seen in one draw.
 #[derive(Clone, Debug, Default)]
-struct Scene {
+struct Scenario {
     runs: Vec<Run>,
     /// When each upstream ended, by its number; none for those that stayed.
     ended: Vec<Option<f64>>,
@@ -56,9 +56,9 @@
     remembered: f64,
 }
 
-const OWN: u64 = REQUEST.0;
+const SUSPECT: u64 = REQUEST.0;
 
-impl Scene {
+impl Scenario {
     fn new() -> Self {
         Self { ended: vec![None; UPSTREAMS as usize], ..Self::default() }
     }
@@ -70,47 +70,47 @@
     }
 
     /// Other requests all the while.
-    fn add_others(&mut self, rng: &mut impl Rng) {
+    fn add_background(&mut self, rng: &mut impl Rng) {
         // What was sent earlier has ended by then.
         let from = LEAD_MS - 3000.0 - RUN_MS.1;
-        let count = (OTHER_RATE * (LEAD_MS + 1000.0 - from) / 1000.0) as u64;
+        let count = (BACKGROUND_RATE * (LEAD_MS + 1000.0 - from) / 1000.0) as u64;
         for number in 0..count {
             let sent = rng.random_range(from..LEAD_MS + 1000.0);
             self.add(rng, 1000 + number, sent);
         }
     }
 
-    fn end_upstream(&mut self, upstream: u64, at: f64) {
+    fn terminate_upstream(&mut self, upstream: u64, at: f64) {
         let ended = &mut self.ended[upstream as usize];
         *ended = Some(ended.map_or(at, |earlier: f64| earlier.min(at)));
     }
 
     /// Whether a run was broken off, and when.
-    fn broken(&self, run: &Run) -> Option<f64> {
+    fn truncated_at(&self, run: &Run) -> Option<f64> {
         let ended = self.ended[run.upstream as usize]?;
         (run.sent < ended && run.done > ended).then_some(ended)
     }
 
     /// Runs that were broken off, of the request or of all.
-    fn broken_runs(&self, own: bool) -> Vec<(u64, Run, f64)> {
-        let broken = self.runs.iter().filter_map(|run| {
-            let at = self.broken(run)?;
-            (!own || run.request == OWN).then_some((run.request, *run, at))
+    fn truncated_runs(&self, suspect_only: bool) -> Vec<(u64, Run, f64)> {
+        let truncated_at = self.runs.iter().filter_map(|run| {
+            let at = self.truncated_at(run)?;
+            (!suspect_only || run.request == SUSPECT).then_some((run.request, *run, at))
         });
-        broken.collect()
+        truncated_at.collect()
     }
 
     fn last_end(&self) -> f64 {
-        self.broken_runs(true).iter().map(|(_, _, at)| *at).fold(0.0, f64::max)
+        self.truncated_runs(true).iter().map(|(_, _, at)| *at).fold(0.0, f64::max)
     }
 
     /// When the request was last answered before a moment, as far as anybody remembers.
     fn answered(&self, before: f64) -> Option<f64> {
         let answers = self.runs.iter().filter(|run| {
             let ended = self.ended[run.upstream as usize];
-            let whole = ended.is_none_or(|ended| run.done <= ended);
-            let sent_to_live = ended.is_none_or(|ended| run.sent < ended);
-            run.request == OWN && whole && sent_to_live
+            let complete = ended.is_none_or(|ended| run.done <= ended);
+            let sent_before_end = ended.is_none_or(|ended| run.sent < ended);
+            run.request == SUSPECT && complete && sent_before_end
         });
         let times = answers.map(|run| run.done);
         times.filter(|at| *at >= self.remembered && *at <= before).max_by(f64::total_cmp)
@@ -118,18 +118,18 @@
 }
 
 /// Ways to decide; true where the request is held.
-type Way = fn(&Scene, f64) -> bool;
+type Strategy = fn(&Scenario, f64) -> bool;
 
-fn distinct(scene: &Scene, own: bool) -> usize {
-    let broken = scene.broken_runs(own);
-    broken.iter().map(|(_, run, _)| run.upstream).collect::<BTreeSet<_>>().len()
+fn distinct(scenario: &Scenario, suspect_only: bool) -> usize {
+    let truncated_at = scenario.truncated_runs(suspect_only);
+    truncated_at.iter().map(|(_, run, _)| run.upstream).collect::<BTreeSet<_>>().len()
 }
 
 /// Runs that followed each other: what counted alone before.
-fn by_order(scene: &Scene, at: f64) -> bool {
-    let mut runs = scene.broken_runs(true);
+fn by_sequence(scenario: &Scenario, at: f64) -> bool {
+    let mut runs = scenario.truncated_runs(true);
     runs.sort_by(|a, b| a.2.total_cmp(&b.2));
-    let answered = scene.answered(at).unwrap_or(-1.0);
+    let answered = scenario.answered(at).unwrap_or(-1.0);
     let (mut chain, mut last) = (0, -1.0);
     for (_, run, ended) in runs {
         if ended > answered && run.sent >= last {
@@ -141,58 +141,63 @@
 }
 
 /// Any three upstreams.
-fn by_count(scene: &Scene, _: f64) -> bool {
-    distinct(scene, true) >= 3
+fn by_count(scenario: &Scenario, _: f64) -> bool {
+    distinct(scenario, true) >= 3
 }
 
 /// Any three upstreams, and never an answer.
-fn by_count_unanswered(scene: &Scene, at: f64) -> bool {
-    by_count(scene, at) && scene.answered(at).is_none()
+fn by_count_unanswered(scenario: &Scenario, at: f64) -> bool {
+    by_count(scenario, at) && scenario.answered(at).is_none()
 }
 
 /// The same, and it was under way at half or more of all that ended.
-fn by_cover(scene: &Scene, at: f64) -> bool {
-    by_count_unanswered(scene, at) && distinct(scene, true) * 2 >= distinct(scene, false)
+fn by_coverage(scenario: &Scenario, at: f64) -> bool {
+    by_count_unanswered(scenario, at) && distinct(scenario, true) * 2 >= distinct(scenario, false)
 }
 
 /// The same with four in five of them.
-fn by_high_cover(scene: &Scene, at: f64) -> bool {
-    by_count_unanswered(scene, at) && distinct(scene, true) * 5 >= distinct(scene, false) * 4
+fn by_high_coverage(scenario: &Scenario, at: f64) -> bool {
+    by_count_unanswered(scenario, at)
+        && distinct(scenario, true) * 5 >= distinct(scenario, false) * 4
 }
 
 /// What the ledger of the leader says, which hears of everything.
-fn by_ledger(scene: &Scene, at: f64) -> bool {
-    hold_of(scene, at, |_| true).is_some()
+fn by_ledger(scenario: &Scenario, at: f64) -> bool {
+    quarantine_of(scenario, at, |_| true).is_some()
 }
 
 /// What one gateway of several says, which sees what went through it.
-fn by_one_gateway(scene: &Scene, at: f64) -> bool {
-    hold_of(scene, at, |number| number.is_multiple_of(GATEWAYS)).is_some()
+fn by_one_gateway(scenario: &Scenario, at: f64) -> bool {
+    quarantine_of(scenario, at, |number| number.is_multiple_of(GATEWAYS)).is_some()
 }
 
-fn hold_of(scene: &Scene, at: f64, sees: impl Fn(usize) -> bool) -> Option<Duration> {
+fn quarantine_of(
+    scenario: &Scenario,
+    at: f64,
+    observes: impl Fn(usize) -> bool,
+) -> Option<Duration> {
     let start = Instant::now() + Duration::from_secs(60);
     let when = |ms: f64| start + Duration::from_secs_f64(ms.max(0.0) / 1000.0);
     let mut ledger = CrashLedger::new();
-    for (number, (request, run, ended)) in scene.broken_runs(false).into_iter().enumerate() {
-        if sees(number) {
+    for (number, (request, run, ended)) in scenario.truncated_runs(false).into_iter().enumerate() {
+        if observes(number) {
             let (sent, ended) = (when(run.sent), when(ended));
             let run = TerminatedRun { upstream: run.upstream, sent, ended };
             ledger.record_run(RequestDigest(request), run);
         }
     }
-    if let Some(answered) = scene.answered(at) {
+    if let Some(answered) = scenario.answered(at) {
         ledger.contradict(REQUEST, when(answered));
     }
     ledger.quarantine_left(REQUEST, when(at))
 }
 
-const WAYS: [(&str, Way); 7] = [
-    ("order", by_order),
+const STRATEGIES: [(&str, Strategy); 7] = [
+    ("order", by_sequence),
     ("count", by_count),
     ("count, never answered", by_count_unanswered),
-    ("and half covered", by_cover),
-    ("and 0.8 covered", by_high_cover),
+    ("and half covered", by_coverage),
+    ("and 0.8 covered", by_high_coverage),
     ("ledger", by_ledger),
     ("ledger of one gateway", by_one_gateway),
 ];
@@ -260,80 +265,80 @@
     }
 }
 
-fn draw_innocent(traffic: Traffic, loss: Loss, started: bool, seed: u64) -> Scene {
+fn draw_harmless(traffic: Traffic, loss: Loss, started: bool, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut scene = Scene::new();
-    scene.add_others(&mut rng);
+    let mut scenario = Scenario::new();
+    scenario.add_background(&mut rng);
     for sent in draw_times(traffic, &mut rng) {
-        scene.add(&mut rng, OWN, sent);
+        scenario.add(&mut rng, SUSPECT, sent);
     }
     for upstream in loss.draw(&mut rng) {
         let at = LEAD_MS + rng.random_range(0.0..LOSS_MS);
-        scene.end_upstream(upstream, at);
+        scenario.terminate_upstream(upstream, at);
     }
     if started {
-        scene.remembered = LEAD_MS - rng.random_range(0.0..1000.0);
+        scenario.remembered = LEAD_MS - rng.random_range(0.0..1000.0);
     }
-    scene
+    scenario
 }
 
 /// Upstreams end one after the other, each for a reason of its own, under a hot key.
-fn draw_series(seed: u64) -> Scene {
+fn draw_series(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut scene = Scene::new();
-    scene.add_others(&mut rng);
+    let mut scenario = Scenario::new();
+    scenario.add_background(&mut rng);
     for sent in draw_times(Traffic::HotKey, &mut rng) {
-        scene.add(&mut rng, OWN, sent);
+        scenario.add(&mut rng, SUSPECT, sent);
     }
     let mut at = LEAD_MS - 3000.0;
     for upstream in 0..rng.random_range(3..6) {
-        scene.end_upstream(upstream, at);
+        scenario.terminate_upstream(upstream, at);
         at += rng.random_range(100.0..1000.0);
     }
-    scene
+    scenario
 }
 
 /// Copies of requests that end whatever they run on; the first of each `gateways` is sent, the
 /// others wait, or all are sent where nothing bounds them.
-fn draw_guilty(requests: u64, bounded: bool, loss: Option<Loss>, seed: u64) -> Scene {
+fn draw_crashing(requests: u64, bounded: bool, loss: Option<Loss>, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut scene = Scene::new();
-    scene.add_others(&mut rng);
+    let mut scenario = Scenario::new();
+    scenario.add_background(&mut rng);
     let after = rng.random_range(20.0..500.0);
     for request in 0..requests {
         let copies = rng.random_range(2..=200);
         let sent_copies = if bounded { GATEWAYS.min(copies) } else { copies };
         for _ in 0..sent_copies {
             let sent = LEAD_MS + rng.random_range(0.0..20.0);
-            scene.add(&mut rng, OWN + request, sent);
-            let run = scene.runs.last_mut().expect("it was added");
+            scenario.add(&mut rng, SUSPECT + request, sent);
+            let run = scenario.runs.last_mut().expect("it was added");
             run.done = f64::INFINITY;
             let (upstream, sent) = (run.upstream, run.sent);
             let ended = sent + after * rng.random_range(0.8..1.2);
-            scene.end_upstream(upstream, ended);
+            scenario.terminate_upstream(upstream, ended);
         }
     }
     if let Some(loss) = loss {
         for upstream in loss.draw(&mut rng) {
             let at = LEAD_MS + rng.random_range(0.0..500.0);
-            scene.end_upstream(upstream, at);
+            scenario.terminate_upstream(upstream, at);
         }
     }
-    scene
+    scenario
 }
 
 /// Share of the draws that count in which a way holds the request.
-fn share_held(way: Way, draws: u64, draw: impl Fn(u64) -> Scene) -> f64 {
-    let (mut held, mut all) = (0u64, 0u64);
+fn quarantined_share(strategy: Strategy, draws: u64, draw: impl Fn(u64) -> Scenario) -> f64 {
+    let (mut quarantined, mut all) = (0u64, 0u64);
     for seed in 0..draws {
-        let scene = draw(seed);
-        if distinct(&scene, true) == 0 {
+        let scenario = draw(seed);
+        if distinct(&scenario, true) == 0 {
             continue;
         }
         all += 1;
-        held += u64::from(way(&scene, scene.last_end() + NEWS_MS));
+        quarantined += u64::from(strategy(&scenario, scenario.last_end() + PROPAGATION_MS));
     }
-    held as f64 / all.max(1) as f64
+    quarantined as f64 / all.max(1) as f64
 }
 
 /// A request that does no harm is held seldom, and hardly ever where anything is left that could
@@ -358,21 +363,21 @@
 #[case::poll_everything_started(Traffic::Poll, Loss::Everything, true, 0.25)]
 #[case::new_hot_key_zone_started(Traffic::NewHotKey, Loss::Zone, true, 0.01)]
 #[case::batch_zone_started(Traffic::Batch, Loss::Zone, true, 0.01)]
-fn hold_innocent(
+fn quarantine_harmless(
     #[case] traffic: Traffic,
     #[case] loss: Loss,
     #[case] started: bool,
     #[case] most: f64,
 ) {
-    let draw = |seed| draw_innocent(traffic, loss, started, seed);
-    let share = share_held(by_ledger, INNOCENT_DRAWS, draw);
+    let draw = |seed| draw_harmless(traffic, loss, started, seed);
+    let share = quarantined_share(by_ledger, HARMLESS_DRAWS, draw);
     println!("{traffic:?} {loss:?} started={started}: {share:.4}");
     assert!(share <= most, "{share} of the draws were held");
 }
 
 #[rstest]
-fn hold_innocent_series() {
-    let share = share_held(by_ledger, INNOCENT_DRAWS, draw_series);
+fn quarantine_harmless_series() {
+    let share = quarantined_share(by_ledger, HARMLESS_DRAWS, draw_series);
     assert_eq!(share, 0.0);
 }
 
@@ -385,40 +390,41 @@
 #[case::three_at_once(3, true, None, 1.0)]
 #[case::beside_lost_rack(1, true, Some(Loss::Rack), 0.9)]
 #[case::beside_lost_zone(1, true, Some(Loss::Zone), 0.9)]
-fn hold_guilty(
+fn quarantine_crashing(
     #[case] requests: u64,
     #[case] bounded: bool,
     #[case] loss: Option<Loss>,
     #[case] least: f64,
 ) {
-    let (mut held, mut all) = (0u64, 0u64);
-    for seed in 0..GUILTY_DRAWS {
-        let scene = draw_guilty(requests, bounded, loss, seed);
-        if distinct(&scene, true) >= 3 {
+    let (mut quarantined, mut all) = (0u64, 0u64);
+    for seed in 0..CRASHING_DRAWS {
+        let scenario = draw_crashing(requests, bounded, loss, seed);
+        if distinct(&scenario, true) >= 3 {
             all += 1;
-            held += u64::from(by_ledger(&scene, scene.last_end() + NEWS_MS));
+            quarantined += u64::from(by_ledger(&scenario, scenario.last_end() + PROPAGATION_MS));
         }
     }
-    let share = held as f64 / all as f64;
+    let share = quarantined as f64 / all as f64;
     println!("{requests} bounded={bounded} {loss:?}: {share:.4} of {all}");
     assert!(share >= least, "only {share} of {all} draws were held");
 }
 
 /// The rates of all ways, for people who weigh another one.
 #[rstest]
-fn hold_table() {
+fn quarantine_table() {
     if std::env::var_os("HOLLOWBARROW_BURST_TABLE").is_none() {
         return;
     }
-    let print = |name: &str, draw: &dyn Fn(u64) -> Scene| {
-        let cells = WAYS.map(|(_, way)| format!("{:.4}", share_held(way, 1000, draw)));
+    let print = |name: &str, draw: &dyn Fn(u64) -> Scenario| {
+        let cells = STRATEGIES
+            .map(|(_, strategy)| format!("{:.4}", quarantined_share(strategy, 1000, draw)));
         println!("| {name} | {} |", cells.join(" | "));
     };
-    println!("| situation | {} |", WAYS.map(|(name, _)| name).join(" | "));
+    println!("| situation | {} |", STRATEGIES.map(|(name, _)| name).join(" | "));
     for traffic in [Traffic::HotKey, Traffic::NewHotKey, Traffic::Poll, Traffic::Batch] {
         for loss in [Loss::Rack, Loss::Zone, Loss::Everything] {
             for started in [false, true] {
-                let draw = |seed| draw_innocent(traffic, loss, started, seed);
+                let draw = |seed| draw_harmless(traffic, loss, started, seed);
                 print(&format!("{traffic:?}, {loss:?}, started {started}"), &draw);
             }
         }
@@ -432,7 +438,7 @@
         (1, true, Some(Loss::Rack)),
         (1, true, Some(Loss::Zone)),
     ] {
-        let draw = |seed| draw_guilty(requests, bounded, loss, seed);
+        let draw = |seed| draw_crashing(requests, bounded, loss, seed);
         print(&format!("guilty {requests}, bounded {bounded}, {loss:?}"), &draw);
     }
 }
--- a/crates/routing/tests/crashes.rs
+++ b/crates/routing/tests/crashes.rs
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 
 const REQUEST: RequestDigest = RequestDigest(7);
-const FIRST_HOLD: Duration = Duration::from_secs(120);
-const LONGEST_HOLD: Duration = Duration::from_secs(960);
+const BASE_QUARANTINE: Duration = Duration::from_secs(120);
+const MAX_QUARANTINE: Duration = Duration::from_secs(960);
 
 fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
@@ -33,16 +33,16 @@
 #[rstest]
 #[case::one(&[(0, 100)], None)]
 #[case::two(&[(0, 100), (100, 200)], None)]
-#[case::three(&[(0, 100), (100, 200), (900, 1000)], Some(FIRST_HOLD))]
-#[case::out_of_order(&[(900, 1000), (0, 100), (100, 200)], Some(FIRST_HOLD))]
-#[case::four(&[(0, 100), (100, 200), (900, 1000), (1100, 1200)], Some(FIRST_HOLD * 2))]
+#[case::three(&[(0, 100), (100, 200), (900, 1000)], Some(BASE_QUARANTINE))]
+#[case::out_of_order(&[(900, 1000), (0, 100), (100, 200)], Some(BASE_QUARANTINE))]
+#[case::four(&[(0, 100), (100, 200), (900, 1000), (1100, 1200)], Some(BASE_QUARANTINE * 2))]
 // A rack is lost: whatever was under way there breaks off at once.
 #[case::common_end(&[(0, 500), (10, 505), (20, 500), (300, 502), (400, 500)], None)]
 // Two such losses, and the repeat of one of those requests.
 #[case::two_common_ends(&[(0, 500), (10, 505), (600, 900), (610, 905)], None)]
 // Copies that are under way at once, as long as others follow.
-#[case::overlapping(&[(0, 100), (50, 150), (100, 200), (150, 250), (250, 300)], Some(FIRST_HOLD))]
-fn hold_runs(#[case] runs: &[(u64, u64)], #[case] expected: Option<Duration>) {
+#[case::overlapping(&[(0, 100), (50, 150), (100, 200), (150, 250), (250, 300)], Some(BASE_QUARANTINE))]
+fn quarantine_runs(#[case] runs: &[(u64, u64)], #[case] expected: Option<Duration>) {
     let start = Instant::now();
     let last = runs.iter().map(|(_, ended)| *ended).max().expect("there are runs");
     let left = ledger_of(start, runs).quarantine_left(REQUEST, start + ms(last));
@@ -50,7 +50,7 @@
 }
 
 #[rstest]
-fn hold_same_upstream() {
+fn quarantine_same_upstream() {
     let start = Instant::now();
     let mut ledger = CrashLedger::new();
     for number in 0..6 {
@@ -62,7 +62,7 @@
 #[rstest]
 #[case::between(150)]
 #[case::after(1500)]
-fn hold_answered_since(#[case] answered: u64) {
+fn quarantine_answered_since(#[case] answered: u64) {
     let start = Instant::now();
     let mut ledger = ledger_of(start, &[(0, 100), (100, 200), (900, 1000)]);
     ledger.record_answer(REQUEST, start + ms(answered));
@@ -77,7 +77,7 @@
 #[case::five(5, None)]
 #[case::six(6, Some(ms(10_000)))]
 #[case::seven(7, Some(ms(20_000)))]
-fn hold_answered_before(#[case] runs: u64, #[case] expected: Option<Duration>) {
+fn quarantine_answered_before(#[case] runs: u64, #[case] expected: Option<Duration>) {
     let start = Instant::now();
     let runs: Vec<(u64, u64)> = (0..runs).map(|n| (n * 300 + 50, n * 300 + 200)).collect();
     let mut ledger = ledger_of(start, &runs);
@@ -87,14 +87,14 @@
 }
 
 #[rstest]
-fn hold_ends_and_doubles() {
+fn quarantine_expires_and_doubles() {
     let start = Instant::now();
     let mut ledger = ledger_of(start, &[(0, 100), (100, 200), (900, 1000)]);
     let mut now = start + ms(1000);
-    let mut hold = FIRST_HOLD;
+    let mut quarantine = BASE_QUARANTINE;
     for number in 3..10 {
-        assert_eq!(ledger.quarantine_left(REQUEST, now), Some(hold.min(LONGEST_HOLD)));
-        now += hold.min(LONGEST_HOLD);
+        assert_eq!(ledger.quarantine_left(REQUEST, now), Some(quarantine.min(MAX_QUARANTINE)));
+        now += quarantine.min(MAX_QUARANTINE);
         assert_eq!(ledger.quarantine_left(REQUEST, now), None, "it may be tried once more");
         assert_eq!(ledger.quarantined(now).len(), 1, "and is still known");
         ledger.record_run(
@@ -102,7 +102,7 @@
             TerminatedRun { upstream: number, sent: now, ended: now + ms(50) },
         );
         now += ms(50);
-        hold *= 2;
+        quarantine *= 2;
     }
     ledger.prune(now + Duration::from_secs(3600));
     assert!(ledger.is_empty(), "after an hour nothing is known");
@@ -123,14 +123,14 @@
     }
     for ledger in &ledgers {
         let left = ledger.quarantine_left(REQUEST, now);
-        let expected = (start + ms(1000) + FIRST_HOLD).checked_duration_since(now);
+        let expected = (start + ms(1000) + BASE_QUARANTINE).checked_duration_since(now);
         let late = left.unwrap_or_default().saturating_sub(expected.unwrap_or_default());
         assert!(late <= ms(120), "it seems {late:?} younger, at most two ways of 40 ms expected");
     }
 }
 
 #[rstest]
-fn contradict_suspicion() {
+fn contradict_clears_quarantine() {
     let start = Instant::now();
     let mut leader = ledger_of(start, &[(0, 100), (100, 200), (900, 1000)]);
     let mut gateway = CrashLedger::new();
@@ -140,7 +140,7 @@
 }
 
 #[rstest]
-fn due_again() {
+fn due_resends() {
     let start = Instant::now();
     let mut ledger = ledger_of(start, &[(0, 100)]);
     assert_eq!(ledger.due(start + ms(100)).len(), 1);
@@ -157,7 +157,7 @@
 #[case::once_long_ago(&[(0, 100)], 11_000, 0)]
 #[case::twice(&[(0, 100), (100, 200)], 9_000, 1)]
 #[case::twice_long_ago(&[(0, 100), (100, 200)], 1_800_000, 1)]
-fn due_for_a_while(#[case] runs: &[(u64, u64)], #[case] later: u64, #[case] expected: usize) {
+fn due_resend_time(#[case] runs: &[(u64, u64)], #[case] later: u64, #[case] expected: usize) {
     let start = Instant::now();
     let mut ledger = ledger_of(start, runs);
     assert_eq!(ledger.due(start + ms(200)).len(), 1, "it is new");
@@ -176,14 +176,14 @@
     let records = ledger.due(start + ms(2000));
     assert_eq!(records.len(), 16);
     assert_eq!(records[0].request, REQUEST, "the likeliest comes first, though it is the oldest");
-    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), Some(FIRST_HOLD));
+    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), Some(BASE_QUARANTINE));
 }
 
 /// Gateways and a leader, as the incident had them: a request that ends its upstreams after 80 ms
 /// comes once a second, at one of eight gateways in turn, each of which sends it to two upstreams
 /// at most. News take 300 ms each way.
 #[rstest]
-fn incident_replayed() {
+fn quarantine_bounds_crashes() {
     let start = Instant::now();
     let mut gateways = vec![CrashLedger::new(); 8];
     let mut leader = CrashLedger::new();
@@ -243,17 +243,17 @@
             ledger.merge(&[index.get(&records).clone()], now);
         }
         ledger.merge(&records, now);
-        let chain = naive_chain(&runs, answered);
-        let wanted = if answered.is_some() { 6 } else { 3 };
-        let burst = answered.is_none() && naive_burst(&runs);
-        let expected = chain >= wanted || burst;
-        let held = ledger.quarantine_left(REQUEST, now).is_some();
-        prop_assert_eq!(held, expected, "chain {} burst {}", chain, burst);
+        let chain = reference_chain(&runs, answered);
+        let required = if answered.is_some() { 6 } else { 3 };
+        let burst = answered.is_none() && reference_burst(&runs);
+        let expected = chain >= required || burst;
+        let quarantined = ledger.quarantine_left(REQUEST, now).is_some();
+        prop_assert_eq!(quarantined, expected, "chain {} burst {}", chain, burst);
     }
 }
 
 /// The longest series of runs since the answer, each sent after the one before had ended.
-fn naive_chain(runs: &[(u32, u32)], answered: Option<u32>) -> usize {
+fn reference_chain(runs: &[(u32, u32)], answered: Option<u32>) -> usize {
     let spans: Vec<(u32, u32)> = runs.iter().map(|(sent, length)| (*sent, sent + length)).collect();
     let usable: Vec<(u32, u32)> =
         spans.into_iter().filter(|(_, end)| answered.is_none_or(|at| at < *end)).collect();
@@ -272,7 +272,7 @@
 }
 
 /// Whether three runs or more ended within 0.3 s, and not together although they were sent apart.
-fn naive_burst(runs: &[(u32, u32)]) -> bool {
+fn reference_burst(runs: &[(u32, u32)]) -> bool {
     runs.iter().any(|(sent, length)| {
         let last = sent + length;
         let moment: Vec<(u32, u32)> = runs
@@ -295,22 +295,22 @@
 /// gateway that had answered a chat: whoever led next heard of the runs only, took the chats for
 /// never answered, and they were refused for 70 s and more.
 #[rstest]
-#[case::led_long_before(0, FIRST_HOLD)]
+#[case::led_long_before(0, BASE_QUARANTINE)]
 #[case::led_just_before(35_000, Duration::from_secs(30))]
 #[case::led_after(41_600, Duration::from_secs(30))]
-fn hold_of_unwatched_request(#[case] watch_since: u64, #[case] expected: Duration) {
+fn quarantine_of_unobserved_request(#[case] observing_since: u64, #[case] expected: Duration) {
     let start = Instant::now();
-    let mut ledger = CrashLedger::new().with_watch_since(start + ms(watch_since));
+    let mut ledger = CrashLedger::new().with_observation_since(start + ms(observing_since));
     let now = start + ms(41_700);
-    let ended_run = |upstream: u64, sent: u32, ended: u32| CrashedRun {
+    let crashed_run = |upstream: u64, sent: u32, ended: u32| CrashedRun {
         upstream,
         sent_ms: 41_700 - sent,
         ended_ms: 41_700 - ended,
     };
     let runs = vec![
-        ended_run(1, 40_000, 40_140),
-        ended_run(2, 40_500, 40_830),
-        ended_run(3, 40_900, 41_030),
+        crashed_run(1, 40_000, 40_140),
+        crashed_run(2, 40_500, 40_830),
+        crashed_run(3, 40_900, 41_030),
     ];
     ledger.merge(&[CrashRecord { request: REQUEST, runs, answered_ms: None }], now);
     assert_eq!(ledger.quarantine_left(REQUEST, start + ms(41_030)), Some(expected));
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -31,7 +31,7 @@
 }
 
 #[rstest]
-#[case::turned_away(AttemptUpstreamError::Refused { status: 503, retry_after: None }, true)]
+#[case::rejected(AttemptUpstreamError::Refused { status: 503, retry_after: None }, true)]
 #[case::asked_for_backoff(
     AttemptUpstreamError::Refused { status: 503, retry_after: Some(Duration::from_secs(3)) }, false)]
 #[case::not_sent_for_backoff(AttemptUpstreamError::BackedOff, false)]
@@ -46,7 +46,7 @@
     /// The naive rule, written out: what may have run and may not run twice is never sent again,
     /// and "not run" is said only of what cannot have run.
     #[test]
-    fn decide_naive(
+    fn decide_reference_rule(
         which in 0usize..8, repeatable: bool, resumable: bool, started: bool,
         attempts in 1u32..6, late: bool,
     ) {
@@ -76,8 +76,8 @@
         seed: u64,
     ) {
         let now = Instant::now();
-        let own = ZoneId::from("own");
-        let picker = RoutePicker::new(&own, 100);
+        let local = ZoneId::from("own");
+        let picker = RoutePicker::new(&local, 100);
         let candidates: Vec<RouteCandidate> = loads
             .iter()
             .enumerate()
@@ -85,7 +85,7 @@
                 key: UpstreamKey { name: number.to_string(), epoch: Epoch(1) },
                 pool: format!("p{pool}"),
                 weight: *weight * u32::from(*pool + 1),
-                zone: Some(if *near { own.clone() } else { ZoneId::from("far") }),
+                zone: Some(if *near { local.clone() } else { ZoneId::from("far") }),
                 reported: *load,
                 reported_at: now,
             })
@@ -94,12 +94,12 @@
         if let Some(choice) = picker.pick(&candidates, &[], &mut rng) {
             let chosen = candidates.iter().find(|c| c.key == choice.key).expect("one of them");
             let pool = || candidates.iter().filter(|c| c.pool == chosen.pool);
-            let own_least = pool().filter(|c| c.zone.as_ref() == Some(&own)).map(|c| c.reported).min();
-            let far_least = pool().filter(|c| c.zone.as_ref() != Some(&own)).map(|c| c.reported).min();
-            if chosen.zone.as_ref() != Some(&own)
-                && let (Some(own_least), Some(far_least)) = (own_least, far_least)
+            let local_least = pool().filter(|c| c.zone.as_ref() == Some(&local)).map(|c| c.reported).min();
+            let far_least = pool().filter(|c| c.zone.as_ref() != Some(&local)).map(|c| c.reported).min();
+            if chosen.zone.as_ref() != Some(&local)
+                && let (Some(local_least), Some(far_least)) = (local_least, far_least)
             {
-                prop_assert!(own_least > far_least + PickRules::default().spill_margin);
+                prop_assert!(local_least > far_least + PickRules::default().spill_margin);
             }
         }
     }
@@ -157,15 +157,15 @@
         })
         .collect();
     let mut picker = RoutePicker::new(&zone, 100);
-    let mut naive = [0u32; 20];
+    let mut random = [0u32; 20];
     for _ in 0..800 {
         let choice = picker.pick(&candidates, &[], &mut rng).expect("there is room");
         picker.record_start(&choice.key, &[], now);
-        naive[rand::RngExt::random_range(&mut rng, 0..20)] += 1;
+        random[rand::RngExt::random_range(&mut rng, 0..20)] += 1;
     }
     let worst = keys.iter().map(|key| picker.in_flight(key)).max().expect("there are some");
-    let naive_worst = naive.iter().max().expect("there are some");
-    assert!(worst <= 44 && worst < *naive_worst, "{worst} against {naive_worst}");
+    let random_worst = random.iter().max().expect("there are some");
+    assert!(worst <= 44 && worst < *random_worst, "{worst} against {random_worst}");
 }
 
 #[rstest]
@@ -219,11 +219,11 @@
 #[case::even(9)]
 #[case::skewed(2)]
 #[case::single(1)]
-fn limit_over_doors(#[case] busy: usize) {
+fn limit_over_daemons(#[case] busy: usize) {
     let id = OrganisationId::from("o");
     let mut now = Instant::now();
     let rate = 900.0;
-    let doors = limiters(9, rate, now);
+    let limiters = limiters(9, rate, now);
     let zone = ZoneId::from("a");
     let mut admitted = 0.0;
     let (warm, measured) = (100, 200);
@@ -231,18 +231,18 @@
         now += Duration::from_millis(50);
         // Twice the limit is asked for, through the busy doors only.
         let each = (rate * 2.0 * 0.05 / busy as f64) as u32;
-        for door in doors.iter().take(busy) {
+        for limiter in limiters.iter().take(busy) {
             for _ in 0..each {
-                let let_in = door.admit(&id, 1.0, now).is_ok();
-                admitted += f64::from(u8::from(let_in && tick >= warm));
+                let is_admitted = limiter.admit(&id, 1.0, now).is_ok();
+                admitted += f64::from(u8::from(is_admitted && tick >= warm));
             }
         }
         if tick % 10 == 0 {
-            for (from, speaker) in doors.iter().enumerate() {
-                let uses = speaker.demand(now);
-                for (to, door) in doors.iter().enumerate() {
+            for (from, sender) in limiters.iter().enumerate() {
+                let uses = sender.demand(now);
+                for (to, limiter) in limiters.iter().enumerate() {
                     if from != to {
-                        door.record_demand(&format!("d{from}"), &zone, 1, &uses, now);
+                        limiter.record_demand(&format!("d{from}"), &zone, 1, &uses, now);
                     }
                 }
             }
@@ -255,14 +255,14 @@
 
 /// A door that hears from no one lets through its even part, so that all together keep the limit.
 #[rstest]
-fn limit_cut_off() {
+fn limit_when_partitioned() {
     let id = OrganisationId::from("o");
     let mut now = Instant::now();
-    let door = limiters(9, 900.0, now).remove(0);
+    let limiter = limiters(9, 900.0, now).remove(0);
     let mut admitted = 0;
     for _ in 0..200 {
         now += Duration::from_millis(50);
-        admitted += (0..50).filter(|_| door.admit(&id, 1.0, now).is_ok()).count();
+        admitted += (0..50).filter(|_| limiter.admit(&id, 1.0, now).is_ok()).count();
     }
     let per_second = admitted as f64 / 10.0;
     assert!((80.0..=125.0).contains(&per_second), "{per_second} a second, 100 are its part");
@@ -273,26 +273,26 @@
     let now = Instant::now();
     let id = OrganisationId::from("o");
     let limiter = OrganisationLimiter::new(1).with_organisation(&id, 1e9, 2, now);
-    let held = [limiter.admit(&id, 1.0, now), limiter.admit(&id, 1.0, now)];
-    assert!(held.iter().all(Result::is_ok));
+    let tickets = [limiter.admit(&id, 1.0, now), limiter.admit(&id, 1.0, now)];
+    assert!(tickets.iter().all(Result::is_ok));
     assert_eq!(limiter.admit(&id, 1.0, now).err(), Some(LimitRequestError::TooMany { limit: 2 }));
-    drop(held);
+    drop(tickets);
     assert!(limiter.admit(&id, 1.0, now).is_ok(), "a place is given back");
     let unknown = OrganisationId::from("x");
     assert_eq!(limiter.admit(&unknown, 1.0, now).err(), Some(LimitRequestError::Unknown));
 }
 
 #[rstest]
-fn limit_zone_sum_leaves_one_out() {
+fn limit_zone_sum_excludes_receiver() {
     let now = Instant::now();
     let id = OrganisationId::from("o");
     let zone = ZoneId::from("a");
-    let door = limiters(5, 1e6, now).remove(0);
-    let _held = door.admit(&id, 100.0, now);
+    let limiter = limiters(5, 1e6, now).remove(0);
+    let _held = limiter.admit(&id, 100.0, now);
     let uses = |r| vec![hollowbarrow_schema::OrganisationUse { o: id.clone(), r }];
-    door.record_demand("d1", &zone, 1, &uses(7.0), now);
-    door.record_demand("d2", &zone, 1, &uses(9.0), now);
-    let (daemons, sum) = door.zone_demand(&zone, &DaemonId::from("d2"), now);
+    limiter.record_demand("d1", &zone, 1, &uses(7.0), now);
+    limiter.record_demand("d2", &zone, 1, &uses(9.0), now);
+    let (daemons, sum) = limiter.zone_demand(&zone, &DaemonId::from("d2"), now);
     assert_eq!(daemons, 2);
     assert!((sum[0].r - 57.0).abs() < 0.5, "{sum:?}");
 }
@@ -300,13 +300,13 @@
 /// Streams fill the door; urgent calls still get in, and a small organisation is not starved.
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn enter_full_door() {
+async fn enter_full_queue() {
     let queue = AdmissionQueue::new(QueueLimits { slots: 20, waiting: 100 });
     let (large, small) = (OrganisationId::from("large"), OrganisationId::from("small"));
     let far = Instant::now() + Duration::from_secs(100);
-    let mut held = Vec::new();
+    let mut tickets = Vec::new();
     for _ in 0..18 {
-        held.push(queue.enter(Urgency::Normal, &large, 1, far).await.expect("there is room"));
+        tickets.push(queue.enter(Urgency::Normal, &large, 1, far).await.expect("there is room"));
     }
     let mut waiting = Vec::new();
     for number in 0..30 {
@@ -317,14 +317,14 @@
         }));
     }
     tokio::task::yield_now().await;
-    let own = queue.clone();
-    let late = tokio::spawn(async move { own.enter(Urgency::Normal, &small, 1, far).await });
+    let local = queue.clone();
+    let late = tokio::spawn(async move { local.enter(Urgency::Normal, &small, 1, far).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     let urgent = queue.enter(Urgency::Urgent, &large, 1, far).await;
     assert!(urgent.is_ok(), "an urgent call waits behind streams");
     drop(urgent);
     // The small one came last and gets one of the first places all the same.
-    held.truncate(16);
+    tickets.truncate(16);
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert!(late.is_finished(), "a large organisation starves a small one");
     for task in waiting {
@@ -338,7 +338,7 @@
     let queue = AdmissionQueue::new(QueueLimits { slots: 1, waiting: 1 });
     let id = OrganisationId::from("o");
     let soon = Instant::now() + Duration::from_secs(1);
-    let held = queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("there is room");
+    let tickets = queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("there is room");
     let passed = queue.enter(Urgency::Urgent, &id, 1, Instant::now()).await;
     assert_eq!(
         passed.err(),
@@ -353,7 +353,7 @@
     let full = queue.enter(Urgency::Urgent, &id, 1, soon).await;
     assert!(matches!(full.err(), Some(ShedRequestError::QueueFull { .. })));
     assert_eq!(waiter.await.expect("it ends"), Some(ShedRequestError::DeadlinePassed));
-    drop(held);
+    drop(tickets);
     assert_eq!((queue.in_flight(), queue.waiting()), (0, 0), "nothing is leaked");
 }
 
@@ -426,7 +426,7 @@
 
 /// What was taken from the budget before a worker was given up is not taken twice.
 #[rstest]
-fn repeat_paid_before() {
+fn repeat_budgeted_before() {
     let now = Instant::now();
     let budget = RetryBudget::new(now);
     while budget.take(now) {}
--- a/crates/routing/tests/limit_table.rs
+++ b/crates/routing/tests/limit_table.rs
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 /// A word: when its request was sent, when the head came, in milliseconds, and the limit.
-type Told = (u64, u64, Option<u64>);
+type Notice = (u64, u64, Option<u64>);
 
-fn to_word(start: Instant, (sent, came, limit): Told) -> LimitNotice {
+fn to_notice(start: Instant, (sent, came, limit): Notice) -> LimitNotice {
     let at = |ms: u64| start + Duration::from_millis(ms);
     LimitNotice {
         limit: limit.map(RequestRate),
@@ -33,40 +33,40 @@
 #[case::named_by_older_answer(&[(5, 10, Some(2000)), (10, 12, None), (0, 20, Some(1000))], Some(1000))]
 #[case::ended_once_certain(&[(5, 10, Some(2000)), (0, 20, None), (10, 30, None)], None)]
 // Told by another daemon, a word may be older although it comes later.
-#[case::surely_older(&[(20, 30, Some(5000)), (0, 10, Some(1000))], Some(5000))]
-#[case::surely_older_than_end(&[(0, 5, Some(1000)), (20, 30, None), (6, 10, Some(1000))], None)]
+#[case::certainly_older(&[(20, 30, Some(5000)), (0, 10, Some(1000))], Some(5000))]
+#[case::certainly_older_than_end(&[(0, 5, Some(1000)), (20, 30, None), (6, 10, Some(1000))], None)]
 #[case::confirmed_since(&[(0, 10, Some(2000)), (5, 30, Some(2000)), (20, 40, None)], Some(2000))]
-fn limit_newest_word(#[case] told: &[Told], #[case] expected: Option<u64>) {
+fn limit_newest_notice(#[case] notices: &[Notice], #[case] expected: Option<u64>) {
     let start = Instant::now();
     let mut table = LimitTable::new();
-    for word in told {
-        table.record(&"a", to_word(start, *word));
+    for notice in notices {
+        table.record(&"a", to_notice(start, *notice));
     }
     assert_eq!(table.limit(&"a").map(|rate| *rate), expected);
     assert_eq!(table.limit(&"b"), None, "it has named nothing");
 }
 
 #[rstest]
-fn note_tells_changes() {
+fn record_reports_changes() {
     let start = Instant::now();
     let mut table = LimitTable::new();
-    let mut note = |word: Told| table.record(&"a", to_word(start, word));
-    assert!(!note((0, 10, None)), "there was no limit");
-    assert!(note((10, 20, Some(1800))));
-    assert!(!note((20, 30, Some(1800))), "it is known");
-    assert!(note((30, 40, Some(900))));
-    assert!(note((40, 50, None)));
-    assert!(!note((50, 60, None)), "it is known");
+    let mut record = |notice: Notice| table.record(&"a", to_notice(start, notice));
+    assert!(!record((0, 10, None)), "there was no limit");
+    assert!(record((10, 20, Some(1800))));
+    assert!(!record((20, 30, Some(1800))), "it is known");
+    assert!(record((30, 40, Some(900))));
+    assert!(record((40, 50, None)));
+    assert!(!record((50, 60, None)), "it is known");
 }
 
 /// What is kept is bounded by the upstreams that are known.
 #[rstest]
-fn tidy_forgets_unknown() {
+fn prune_removes_unknown() {
     let start = Instant::now();
     let mut table = LimitTable::new();
-    table.record(&"gone", to_word(start, (0, 10, Some(1))));
-    table.record(&"there", to_word(start, (0, 10, Some(1))));
-    table.record(&"plain", to_word(start, (0, 10, None)));
+    table.record(&"gone", to_notice(start, (0, 10, Some(1))));
+    table.record(&"there", to_notice(start, (0, 10, Some(1))));
+    table.record(&"plain", to_notice(start, (0, 10, None)));
     table.prune(|upstream| *upstream != "gone");
     assert_eq!(table.len(), 1);
     assert!(!table.is_empty());
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 const NAMED: Option<RequestRate> = Some(RequestRate(2000));
-const PATIENCE: Duration = Duration::from_millis(100);
+const WAIT_TIMEOUT: Duration = Duration::from_millis(100);
 const DAEMONS: u32 = 8;
 
 fn after(start: Instant, ms: u64) -> Instant {
@@ -16,13 +16,13 @@
 }
 
 /// A word in the answer to a request that was sent 10 ms before.
-fn word(start: Instant, came_ms: u64, limit: Option<RequestRate>) -> LimitNotice {
+fn notice(start: Instant, came_ms: u64, limit: Option<RequestRate>) -> LimitNotice {
     let span = NoticeInterval { sent: after(start, came_ms - 10), came: after(start, came_ms) };
     LimitNotice { limit, span }
 }
 
 /// What a leader tells of a word whose answer came so long ago.
-fn told(came_ms: u32, limit: Option<RequestRate>) -> Vec<UpstreamLimit> {
+fn published(came_ms: u32, limit: Option<RequestRate>) -> Vec<UpstreamLimit> {
     vec![UpstreamLimit { upstream: "a".to_owned(), limit, sent_ms: came_ms + 10, came_ms }]
 }
 
@@ -37,50 +37,50 @@
 }
 
 #[rstest]
-fn own_word_counts() {
+fn local_notice_counts() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    assert!(limits.record_notice("a", word(start, 100, NAMED)));
+    assert!(limits.record_notice("a", notice(start, 100, NAMED)));
     assert_eq!(limits.limit("a"), NAMED);
-    assert!(limits.lacking(DAEMONS, after(start, 100)).contains("a"));
-    assert!(limits.record_notice("a", word(start, 200, None)));
-    assert!(limits.lacking(DAEMONS, after(start, 200)).is_empty());
+    assert!(limits.without_permit(DAEMONS, after(start, 100)).contains("a"));
+    assert!(limits.record_notice("a", notice(start, 200, None)));
+    assert!(limits.without_permit(DAEMONS, after(start, 200)).is_empty());
     assert!(limits.take("a", after(start, 200)).is_none(), "none is needed");
 }
 
 /// What others heard counts unless this daemon's own word may be as new.
 #[rstest]
 #[case::only_others(None, 50, NAMED, NAMED)]
-#[case::own_older(Some((100, None)), 50, NAMED, NAMED)]
-#[case::own_newer(Some((900, None)), 500, NAMED, None)]
+#[case::local_older(Some((100, None)), 50, NAMED, NAMED)]
+#[case::local_newer(Some((900, None)), 500, NAMED, None)]
 #[case::about_as_old(Some((800, None)), 100, NAMED, None)]
 #[case::ended_at_others(Some((100, NAMED)), 50, None, None)]
-fn limit_told_by_others(
-    #[case] own: Option<(u64, Option<RequestRate>)>,
+fn limit_published_by_leader(
+    #[case] local: Option<(u64, Option<RequestRate>)>,
     #[case] came_ms: u32,
     #[case] others: Option<RequestRate>,
     #[case] expected: Option<RequestRate>,
 ) {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    if let Some((ms, limit)) = own {
-        limits.record_notice("a", word(start, ms - 20, NAMED));
-        limits.record_notice("a", word(start, ms, limit));
+    if let Some((ms, limit)) = local {
+        limits.record_notice("a", notice(start, ms - 20, NAMED));
+        limits.record_notice("a", notice(start, ms, limit));
     }
-    limits.record_published(&told(came_ms, others), after(start, 1000));
+    limits.record_published(&published(came_ms, others), after(start, 1000));
     assert_eq!(limits.limit("a"), expected);
 }
 
 /// A daemon that knows of a limit from others only hears by itself that it has ended.
 #[rstest]
-fn limit_of_others_ends_here() {
+fn published_limit_ends_locally() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.record_published(&told(50, NAMED), after(start, 1000));
-    assert!(limits.record_notice("a", word(start, 1500, None)));
+    limits.record_published(&published(50, NAMED), after(start, 1000));
+    assert!(limits.record_notice("a", notice(start, 1500, None)));
     assert_eq!(limits.limit("a"), None);
     let ask = limits.due(after(start, 1500)).expect("others do not know");
-    assert_eq!(ask.limits, told(0, None));
+    assert_eq!(ask.limits, published(0, None));
 }
 
 /// A new leader hears of limits within moments, so that what a former one told is kept as long.
@@ -90,31 +90,31 @@
 fn limit_of_former_leader(#[case] ms: u64, #[case] expected: Option<RequestRate>) {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.record_published(&told(50, NAMED), start);
+    limits.record_published(&published(50, NAMED), start);
     limits.record_published(&[], after(start, ms));
     assert_eq!(limits.limit("a"), expected);
 }
 
 #[rstest]
-fn due_tells_what_leader_lacks() {
+fn due_reports_unknown_limits() {
     let start = Instant::now();
     let mut limits = UpstreamLimits::new(1);
-    limits.record_notice("a", word(start, 100, NAMED));
-    let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
+    limits.record_notice("a", notice(start, 100, NAMED));
+    let ask = PermitAsk { limits: published(0, NAMED), needs: Vec::new() };
     assert_eq!(limits.due(after(start, 100)), Some(ask));
     assert_eq!(limits.due(after(start, 349)), None, "it may be on its way");
     assert!(limits.due(after(start, 350)).is_some(), "the leader does not tell it");
-    limits.record_published(&told(400, NAMED), after(start, 500));
+    limits.record_published(&published(400, NAMED), after(start, 500));
     assert_eq!(limits.due(after(start, 1000)), None);
 }
 
 #[rstest]
-fn coordinator_tells_and_issues() {
+fn coordinator_publishes_and_issues() {
     let start = Instant::now();
     let mut coordinator = coordinator();
     let mut limits = UpstreamLimits::new(1);
-    limits.record_notice("a", word(start, 100, NAMED));
-    assert!(limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
+    limits.record_notice("a", notice(start, 100, NAMED));
+    assert!(limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 100)));
     let ask = limits.due(after(start, 100)).expect("it wants something");
     let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
     assert_eq!(answer.changed, vec![("a".to_owned(), NAMED)]);
@@ -122,22 +122,22 @@
     assert_eq!((grant.terms[0].issued, grant.terms[0].wait_ms), (0, Some(500)));
     assert_eq!(coordinator.published_limits(after(start, 100)).len(), 1);
     limits.record_grant(grant, after(start, 100));
-    assert!(!limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 100)));
-    assert!(limits.record_need_of_any(&["a".to_owned()], PATIENCE, false, after(start, 590)));
+    assert!(!limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 100)));
+    assert!(limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 590)));
     let ask = limits.due(after(start, 590)).expect("it wants something");
     assert!(coordinator.handle_ask(&daemon("x"), &ask, after(start, 590)).changed.is_empty());
     let grants = coordinator.issue(after(start, 600));
     limits.record_grant(&grants[&daemon("x")], after(start, 600));
-    assert!(limits.lacking(DAEMONS, after(start, 600)).is_empty());
+    assert!(limits.without_permit(DAEMONS, after(start, 600)).is_empty());
     assert!(limits.take("a", after(start, 600)).is_some());
 }
 
 /// What a former leader issued may just have been used.
 #[rstest]
-fn coordinator_begins_with_nothing() {
+fn coordinator_starts_empty() {
     let start = Instant::now();
     let mut coordinator = coordinator();
-    let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
+    let ask = PermitAsk { limits: published(0, NAMED), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask, start);
     coordinator.enter(Term(1));
     assert_eq!(coordinator.published_limits(start).len(), 1, "it is the same term");
@@ -147,12 +147,12 @@
 
 /// The end of a limit is told on for a while.
 #[rstest]
-#[case::told(9_999, 1)]
+#[case::published(9_999, 1)]
 #[case::over(10_500, 0)]
-fn coordinator_tells_of_end(#[case] ms: u64, #[case] expected: usize) {
+fn coordinator_publishes_ended_limit(#[case] ms: u64, #[case] expected: usize) {
     let start = Instant::now();
     let mut coordinator = coordinator();
-    let ask = |limit| PermitAsk { limits: told(0, limit), needs: Vec::new() };
+    let ask = |limit| PermitAsk { limits: published(0, limit), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask(NAMED), start);
     // Later by more than words may be late.
     let answer = coordinator.handle_ask(&daemon("y"), &ask(None), after(start, 500));
@@ -164,7 +164,7 @@
 fn coordinator_forgets_unknown() {
     let start = Instant::now();
     let mut coordinator = coordinator();
-    let ask = PermitAsk { limits: told(0, NAMED), needs: Vec::new() };
+    let ask = PermitAsk { limits: published(0, NAMED), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask, start);
     coordinator.prune(|upstream| upstream != "a");
     assert!(coordinator.published_limits(start).is_empty());
@@ -172,10 +172,10 @@
 
 /// All daemons are told at once of what changes, and of the rest about once a second.
 #[rstest]
-fn coordinator_tells_all_now_and_then() {
+fn coordinator_publishes_periodically() {
     let start = Instant::now();
     let mut coordinator = coordinator();
-    let ask = |limit| PermitAsk { limits: told(0, limit), needs: Vec::new() };
+    let ask = |limit| PermitAsk { limits: published(0, limit), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask(NAMED), start);
     assert_eq!(coordinator.due_limits(start).len(), 1);
     coordinator.handle_ask(&daemon("y"), &ask(NAMED), after(start, 100));
@@ -192,11 +192,11 @@
     let upstreams = ["a".to_owned()];
     let mut coordinator = coordinator();
     let mut limits = UpstreamLimits::new(1);
-    limits.record_notice("a", word(start, 100, Some(RequestRate(0))));
-    assert!(limits.record_need_of_any(&upstreams, PATIENCE, false, after(start, 100)));
+    limits.record_notice("a", notice(start, 100, Some(RequestRate(0))));
+    assert!(limits.record_need_of_any(&upstreams, WAIT_TIMEOUT, false, after(start, 100)));
     let ask = limits.due(after(start, 100)).expect("it wants something");
     let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
     limits.record_grant(&answer.grants[&daemon("x")], after(start, 100));
-    assert!(limits.record_notice("a", word(start, 1000, Some(RequestRate(50_000)))));
-    assert!(limits.record_need_of_any(&upstreams, PATIENCE, false, after(start, 1000)));
+    assert!(limits.record_notice("a", notice(start, 1000, Some(RequestRate(50_000)))));
+    assert!(limits.record_need_of_any(&upstreams, WAIT_TIMEOUT, false, after(start, 1000)));
 }
--- a/crates/routing/tests/permits.rs
+++ b/crates/routing/tests/permits.rs
@@ -9,7 +9,7 @@
 
 const LIMIT: RequestRate = RequestRate(2000);
 const DAEMONS: u32 = 8;
-const PATIENCE: Duration = Duration::from_millis(100);
+const WAIT_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn after(start: Instant, ms: u64) -> Instant {
     start + Duration::from_millis(ms)
@@ -43,28 +43,28 @@
 fn issue_by_rate(#[case] ms: u64, #[case] expected: u32) {
     let start = Instant::now();
     let mut issuer = issuer(start);
-    issuer.record_need(&daemon("x"), &need(5, PATIENCE, 0), after(start, ms));
+    issuer.record_need(&daemon("x"), &need(5, WAIT_TIMEOUT, 0), after(start, ms));
     let issued: u32 = issuer.issue(after(start, ms)).iter().map(|issued| issued.count).sum();
     assert_eq!(issued, expected);
 }
 
 /// The one whose request waits for the shortest time is served first.
 #[rstest]
-fn issue_first_ending_need() {
+fn issue_earliest_expiring_need() {
     let start = Instant::now();
     let now = after(start, 500);
     let mut issuer = issuer(start);
     issuer.record_need(&daemon("late"), &need(1, PERMIT_LIFETIME, 0), now);
-    issuer.record_need(&daemon("soon"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("soon"), &need(1, WAIT_TIMEOUT, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("soon", 1)]);
     assert_eq!(issuer.wait("a"), Some(Duration::from_millis(500)));
 }
 
 #[rstest]
-fn issue_nothing_too_late() {
+fn issue_nothing_for_expired_need() {
     let start = Instant::now();
     let mut issuer = issuer(start);
-    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 400));
+    issuer.record_need(&daemon("x"), &need(1, WAIT_TIMEOUT, 0), after(start, 400));
     assert_eq!(issuer.issue(after(start, 500)), Vec::new(), "the request has gone");
 }
 
@@ -73,22 +73,22 @@
     let start = Instant::now();
     let now = after(start, 500);
     let mut issuer = issuer(start);
-    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("x"), &need(1, WAIT_TIMEOUT, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("x", 1)]);
     issuer.record_need(&daemon("x"), &need(0, Duration::ZERO, 1), now);
-    issuer.record_need(&daemon("y"), &need(1, PATIENCE, 0), now);
+    issuer.record_need(&daemon("y"), &need(1, WAIT_TIMEOUT, 0), now);
     assert_eq!(issuer.issue(now), vec![issued("y", 1)]);
 }
 
 #[rstest]
 #[case::fallen(Some(RequestRate(100)), 10_000)]
 #[case::nothing_allowed(Some(RequestRate(0)), 10_000)]
-fn issue_by_fallen_rate(#[case] limit: Option<RequestRate>, #[case] first_ms: u64) {
+fn issue_by_lowered_rate(#[case] limit: Option<RequestRate>, #[case] first_ms: u64) {
     let start = Instant::now();
     let mut issuer = issuer(start);
     issuer.set_limit("a", limit, start);
     for (ms, expected) in [(first_ms - 1, 0), (first_ms, 1)] {
-        issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, ms));
+        issuer.record_need(&daemon("x"), &need(1, WAIT_TIMEOUT, 0), after(start, ms));
         assert_eq!(issuer.issue(after(start, ms)).len(), expected, "at {ms}");
     }
 }
@@ -98,25 +98,25 @@
     let start = Instant::now();
     let mut issuer = issuer(start);
     issuer.set_limit("a", None, start);
-    issuer.record_need(&daemon("x"), &need(1, PATIENCE, 0), after(start, 500));
+    issuer.record_need(&daemon("x"), &need(1, WAIT_TIMEOUT, 0), after(start, 500));
     assert_eq!(issuer.issue(after(start, 500)), Vec::new());
     assert_eq!(issuer.wait("a"), None);
 }
 
-fn holds(holder: &mut PermitHolder, now: Instant) -> bool {
+fn has_permit(holder: &mut PermitHolder, now: Instant) -> bool {
     holder.has_permit("a", LIMIT, DAEMONS, now)
 }
 
 #[rstest]
-fn holder_takes_what_was_lent() {
+fn holder_takes_issued() {
     let now = Instant::now();
     let mut holder = PermitHolder::new(1);
-    assert!(!holds(&mut holder, now));
-    assert!(holder.record_need("a", PATIENCE, now), "it may come");
-    assert_eq!(holder.due(now), vec![need(1, PATIENCE, 0)]);
+    assert!(!has_permit(&mut holder, now));
+    assert!(holder.record_need("a", WAIT_TIMEOUT, now), "it may come");
+    assert_eq!(holder.due(now), vec![need(1, WAIT_TIMEOUT, 0)]);
     assert_eq!(holder.due(now), Vec::new(), "the issuer knows");
     holder.record_issued("a", 1, now);
-    assert!(holds(&mut holder, now));
+    assert!(has_permit(&mut holder, now));
     let permit = holder.take("a", now).expect("one was issued");
     assert!(holder.take("a", now).is_none(), "it is used");
     holder.give_back("a", permit);
@@ -127,47 +127,47 @@
 #[rstest]
 #[case::unused(99, true, 0)]
 #[case::ran_out(100, false, 1)]
-fn holder_returns_unused(#[case] ms: u64, #[case] held: bool, #[case] returned: u32) {
+fn holder_returns_unused(#[case] ms: u64, #[case] available: bool, #[case] returned: u32) {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.record_need("a", PATIENCE, start);
+    holder.record_need("a", WAIT_TIMEOUT, start);
     holder.due(start);
     holder.record_issued("a", 1, start);
-    assert_eq!(holds(&mut holder, after(start, ms)), held);
-    let told: u32 = holder.due(after(start, ms)).iter().map(|need| need.returned).sum();
-    assert_eq!(told, returned);
+    assert_eq!(has_permit(&mut holder, after(start, ms)), available);
+    let returned_count: u32 = holder.due(after(start, ms)).iter().map(|need| need.returned).sum();
+    assert_eq!(returned_count, returned);
 }
 
 #[rstest]
-fn holder_returns_what_comes_too_late() {
+fn holder_returns_late_permits() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.record_need("a", PATIENCE, start);
+    holder.record_need("a", WAIT_TIMEOUT, start);
     holder.due(start);
     holder.record_issued("a", 1, after(start, 100));
-    assert!(!holds(&mut holder, after(start, 100)));
+    assert!(!has_permit(&mut holder, after(start, 100)));
     assert_eq!(holder.due(after(start, 100)), vec![need(0, Duration::ZERO, 1)]);
 }
 
 /// Nothing is asked for that cannot come in time.
 #[rstest]
-fn holder_needs_what_may_come() {
+fn holder_drops_unfulfillable_needs() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    holder.record_need("a", PATIENCE, start);
+    holder.record_need("a", WAIT_TIMEOUT, start);
     holder.record_wait("a", Duration::from_millis(400), start);
     assert_eq!(holder.count_needs("a", start), 0, "it cannot be fulfilled");
-    assert!(!holder.record_need("a", PATIENCE, after(start, 299)));
+    assert!(!holder.record_need("a", WAIT_TIMEOUT, after(start, 299)));
     assert_eq!(holder.wait("a", after(start, 299)), Duration::from_millis(101));
-    assert!(holder.record_need("a", PATIENCE, after(start, 300)));
+    assert!(holder.record_need("a", WAIT_TIMEOUT, after(start, 300)));
 }
 
 /// What was issued under a higher limit is not all used under a lower one.
 #[rstest]
-fn holder_keeps_one_after_fall() {
+fn holder_keeps_one_after_decrease() {
     let now = Instant::now();
     let mut holder = PermitHolder::new(1);
-    (0..3).for_each(|_| assert!(holder.record_need("a", PATIENCE, now)));
+    (0..3).for_each(|_| assert!(holder.record_need("a", WAIT_TIMEOUT, now)));
     holder.record_issued("a", 3, now);
     holder.record_limit_decrease("a");
     assert!(holder.take("a", now).is_some());
@@ -175,11 +175,11 @@
 }
 
 /// Permits a second that a daemon gives itself, as a part of the limit.
-fn self_issued_part(holder: &mut PermitHolder, start: Instant) -> f64 {
+fn self_issued_share(holder: &mut PermitHolder, start: Instant) -> f64 {
     let steps = 400_000;
     let taken = (0..steps).filter(|step| {
         let now = after(start, step * 10);
-        holds(holder, now) && holder.take("a", now).is_some()
+        has_permit(holder, now) && holder.take("a", now).is_some()
     });
     let seconds = steps as f64 / 100.0;
     taken.count() as f64 / seconds / (*LIMIT as f64 / 1000.0)
@@ -187,15 +187,15 @@
 
 /// Where nobody issues permits, all daemons together use less than half of the limit, each its part.
 #[rstest]
-fn holder_permits_itself_without_issuer() {
+fn holder_self_issues_without_issuer() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
-    assert!(!holds(&mut holder, start));
-    holder.record_need("a", PATIENCE, start);
+    assert!(!has_permit(&mut holder, start));
+    holder.record_need("a", WAIT_TIMEOUT, start);
     holder.due(start);
-    let part = self_issued_part(&mut holder, after(start, 600)) * f64::from(DAEMONS);
+    let part = self_issued_share(&mut holder, after(start, 600)) * f64::from(DAEMONS);
     assert!((0.3..0.5).contains(&part), "{part}");
     let end = after(start, 5_000_000);
     holder.record_wait("a", Duration::ZERO, end);
-    assert_eq!(self_issued_part(&mut holder, end), 0.0, "somebody issues");
+    assert_eq!(self_issued_share(&mut holder, end), 0.0, "somebody issues");
 }
--- a/crates/routing/tests/permits_simulation.rs
+++ b/crates/routing/tests/permits_simulation.rs
@@ -26,7 +26,7 @@
 const STEP_MS: u64 = 50;
 const STEPS_OF_VIEW: u64 = 2;
 /// Time for which a request waits for a permit.
-const PATIENCE_MS: u64 = 100;
+const WAIT_TIMEOUT_MS: u64 = 100;
 /// Upstreams that all requests can go to.
 const UPSTREAMS: usize = 3;
 
@@ -189,7 +189,7 @@
                 let limit = Some(RequestRate((self.load.limit * 1000.0) as u64));
                 let span = NoticeInterval { sent: self.at(sent_ms), came: now };
                 self.limits[daemon].record_notice(name_of(upstream), LimitNotice { limit, span });
-                self.tell(daemon, ms);
+                self.report(daemon, ms);
             }
             Event::Ask { daemon, ask } => {
                 if self.leads {
@@ -203,7 +203,7 @@
                     self.waiting[daemon].pop_front();
                     self.limits[daemon].end_wait();
                 }
-                self.need_again(daemon, ms);
+                self.renew_needs(daemon, ms);
             }
             Event::View { daemon, limits } => self.limits[daemon].record_published(&limits, now),
             Event::Step { number } => self.step(number, ms),
@@ -235,12 +235,12 @@
         }
         if self.leads && number.is_multiple_of(STEPS_OF_VIEW) {
             let limits = self.coordinator.due_limits(now);
-            let daemons = (0..self.load.daemons).filter(|daemon| self.hears(*daemon));
+            let daemons = (0..self.load.daemons).filter(|daemon| self.is_connected(*daemon));
             for daemon in daemons.collect::<Vec<usize>>() {
                 self.send(ms, Event::View { daemon, limits: limits.clone() });
             }
         }
-        (0..self.load.daemons).for_each(|daemon| self.tell(daemon, ms));
+        (0..self.load.daemons).for_each(|daemon| self.report(daemon, ms));
         self.push(ms + STEP_MS, Event::Step { number: number + 1 });
     }
 
@@ -252,13 +252,13 @@
     }
 
     /// Whether a daemon and the leader hear each other.
-    fn hears(&self, daemon: usize) -> bool {
+    fn is_connected(&self, daemon: usize) -> bool {
         self.load.churn != Churn::Halved || daemon.is_multiple_of(2)
     }
 
-    fn tell(&mut self, daemon: usize, ms: u64) {
+    fn report(&mut self, daemon: usize, ms: u64) {
         let ask = self.limits[daemon].due(self.start + Duration::from_millis(ms));
-        if let Some(ask) = ask.filter(|_| self.hears(daemon)) {
+        if let Some(ask) = ask.filter(|_| self.is_connected(daemon)) {
             self.send(ms, Event::Ask { daemon, ask });
         }
     }
@@ -279,9 +279,9 @@
         let (now, daemons) = (self.at(ms), self.load.daemons as u32);
         let first = self.rng.random_range(0..UPSTREAMS);
         let limits = &mut self.limits[daemon];
-        let lacking = limits.lacking(daemons, now);
+        let without_permit = limits.without_permit(daemons, now);
         let mut order = (0..UPSTREAMS).map(|n| (first + n) % UPSTREAMS);
-        let Some(upstream) = order.find(|one| !lacking.contains(name_of(*one))) else {
+        let Some(upstream) = order.find(|one| !without_permit.contains(name_of(*one))) else {
             return false;
         };
         let limited = limits.limit(name_of(upstream)).is_some();
@@ -298,15 +298,15 @@
     /// Has a request wait for a permit, unless none can come.
     fn wait_for_permit(&mut self, daemon: usize, ms: u64) {
         let now = self.at(ms);
-        let patience = Duration::from_millis(PATIENCE_MS);
-        if !self.limits[daemon].record_need_of_any(&names(), patience, false, now) {
+        let timeout = Duration::from_millis(WAIT_TIMEOUT_MS);
+        if !self.limits[daemon].record_need_of_any(&names(), timeout, false, now) {
             self.refused += 1;
             return;
         }
         self.limits[daemon].begin_wait();
-        self.waiting[daemon].push_back(ms + PATIENCE_MS);
-        self.push(ms + PATIENCE_MS, Event::Expire { daemon });
-        self.tell(daemon, ms);
+        self.waiting[daemon].push_back(ms + WAIT_TIMEOUT_MS);
+        self.push(ms + WAIT_TIMEOUT_MS, Event::Expire { daemon });
+        self.report(daemon, ms);
     }
 
     fn refuse_first(&mut self, daemon: usize) {
@@ -316,15 +316,15 @@
     }
 
     /// Has requests whose needs were dropped need other permits, or refuses them.
-    fn need_again(&mut self, daemon: usize, ms: u64) {
+    fn renew_needs(&mut self, daemon: usize, ms: u64) {
         let now = self.at(ms);
         for end in self.waiting[daemon].clone() {
-            let patience = Duration::from_millis(end.saturating_sub(ms));
-            if !self.limits[daemon].record_need_of_any(&names(), patience, true, now) {
+            let timeout = Duration::from_millis(end.saturating_sub(ms));
+            if !self.limits[daemon].record_need_of_any(&names(), timeout, true, now) {
                 self.refuse_first(daemon);
             }
         }
-        self.tell(daemon, ms);
+        self.report(daemon, ms);
     }
 
     /// Most requests that an upstream got in a window.
--- a/crates/routing/tests/probes.rs
+++ b/crates/routing/tests/probes.rs
@@ -9,11 +9,11 @@
 const REQUEST: RequestDigest = RequestDigest(7);
 
 /// Daemons that may try in each of some windows.
-fn trying(daemons: u32, over: Duration) -> Vec<usize> {
+fn probing(daemons: u32, expired_for: Duration) -> Vec<usize> {
     let windows = 0..2000;
     let count = |window| {
         (0..u64::from(daemons))
-            .filter(|daemon| may_probe(*daemon * 7919, REQUEST, window, daemons, over))
+            .filter(|daemon| may_probe(*daemon * 7919, REQUEST, window, daemons, expired_for))
             .count()
     };
     windows.map(count).collect()
@@ -25,12 +25,12 @@
 #[case::site_of_today(9)]
 #[case::large_site(82)]
 #[case::planned_size(410)]
-fn may_try_few_at_once(#[case] daemons: u32) {
-    let trying = trying(daemons, Duration::ZERO);
-    let mean = trying.iter().sum::<usize>() as f64 / trying.len() as f64;
+fn may_probe_few_at_once(#[case] daemons: u32) {
+    let probing = probing(daemons, Duration::ZERO);
+    let mean = probing.iter().sum::<usize>() as f64 / probing.len() as f64;
     assert!((0.4..0.6).contains(&mean), "{mean} try in the mean");
-    let many = trying.iter().filter(|count| **count > 3).count();
-    assert!(many * 200 < trying.len(), "more than three try in {many} of {}", trying.len());
+    let many = probing.iter().filter(|count| **count > 3).count();
+    assert!(many * 200 < probing.len(), "more than three try in {many} of {}", probing.len());
 }
 
 /// A rare request is not held for good: after a while every daemon may try.
@@ -39,7 +39,7 @@
 #[case::few(3, 15)]
 #[case::large_site(82, 40)]
 #[case::planned_size(410, 50)]
-fn may_try_after_while(#[case] daemons: u32, #[case] seconds: u64) {
-    let trying = trying(daemons, Duration::from_secs(seconds));
-    assert!(trying.iter().all(|count| *count == daemons as usize));
+fn may_probe_after_doublings(#[case] daemons: u32, #[case] seconds: u64) {
+    let probing = probing(daemons, Duration::from_secs(seconds));
+    assert!(probing.iter().all(|count| *count == daemons as usize));
 }
