--- a/crates/routing/src/adaptive.rs
+++ b/crates/routing/src/adaptive.rs
@@ -1,17 +1,17 @@
-//! How many requests one upstream gets at once.
+//! Adapts the number of requests that one upstream may have in flight.
 
-/// Least requests that an upstream is given.
+/// Lower bound of the limit.
 const MIN_LIMIT: f64 = 2.0;
-/// Most requests that an upstream is given.
+/// Upper bound of the limit.
 const MAX_LIMIT: f64 = 1024.0;
-/// What is left of the limit after a refusal.
+/// Factor applied to the limit after a refusal.
 const DECREASE: f64 = 0.7;
-/// A first token this many times slower than usual counts as congestion.
+/// Multiple of the average first-token time from which an answer counts as congestion.
 const SLOW_FACTOR: f64 = 4.0;
-/// Weight of a new measurement in the usual first-token time.
+/// Weight of a new sample in the average first-token time.
 const SMOOTHING: f64 = 0.05;
 
-/// Limit that grows by one for each limit's worth of successes and shrinks at refusals.
+/// A limit that grows by one for each limit's worth of successes and shrinks after refusals.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     limit: f64,
@@ -19,17 +19,17 @@
 }
 
 impl AdaptiveLimit {
-    /// Creates a limit with the number of requests to begin with.
+    /// Creates a limit with an initial number of requests.
     pub fn new(initial: u32) -> Self {
         Self { limit: f64::from(initial).clamp(MIN_LIMIT, MAX_LIMIT), usual_ms: None }
     }
 
-    /// Requests that the upstream may have at once.
+    /// Returns the number of requests that the upstream may have in flight.
     pub fn limit(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Notes an answer and how long its first byte took, with the requests then in flight.
+    /// Records an answer: the time to its first byte and the requests then in flight.
     pub fn record_answer(&mut self, first_ms: f64, in_flight: u32) {
         let usual = self.usual_ms.get_or_insert(first_ms);
         let slow = first_ms > *usual * SLOW_FACTOR;
@@ -37,12 +37,12 @@
         if slow {
             self.decrease();
         } else if f64::from(in_flight) * 2.0 >= self.limit {
-            // Only a limit that is being used has shown that it can be raised.
+            // Only a limit that is in use has shown that it can be raised.
             self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT);
         }
     }
 
-    /// Notes that the upstream refused a request for lack of room.
+    /// Records that the upstream refused a request for lack of capacity.
     pub fn record_refusal(&mut self) {
         self.decrease();
     }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,13 +1,13 @@
-//! Lets requests in by priority class, and by fair share among organisations.
+//! Admits requests by priority class, and by fair share among organisations.
 //!
-//! A number of places is shared by three classes. Urgent requests may use all
-//! places, normal ones all but a reserve, and batch ones what is idle beyond a
-//! second reserve, so that a door full of streams still has room for a hold.
-//! Within a class, waiting requests leave in order of virtual finish times:
-//! each organisation's advance by the cost of its requests over its weight.
+//! Three classes share a number of slots. Urgent requests may use all of them, normal requests all
+//! but a reserve, and batch requests all but that reserve and a second one. Capacity for urgent
+//! requests therefore remains when long streams occupy the other slots. Within a class, waiting
+//! requests are admitted in order of their virtual finish times: an organisation's virtual time
+//! advances by the cost of its requests divided by its weight.
 //!
-//! Invariants: a class's queue never exceeds its bound; a request whose
-//! deadline has passed while it waited is refused, never let through.
+//! Invariants: a class's queue never exceeds its bound; a request whose deadline passes while it
+//! waits is refused, never admitted.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -18,32 +18,32 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Part of the places kept for urgent requests.
+/// Share of the slots that is reserved for urgent requests.
 const URGENT_RESERVE: f64 = 0.1;
-/// Part of the places that batch requests leave free beyond that.
+/// Share of the slots, beyond [`URGENT_RESERVE`], that batch requests may not use.
 const BATCH_RESERVE: f64 = 0.15;
-/// Weight of a new measurement in the usual time that a place is held.
+/// Weight of a new sample in the moving average of the time that a request occupies a slot.
 const SMOOTHING: f64 = 0.05;
 
 /// Bounds of an admission queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueLimits {
-    /// Requests in flight at once.
+    /// Number of requests in flight at once.
     pub slots: u32,
-    /// Requests that may wait in each class.
+    /// Number of requests that may wait in each class.
     pub waiting: u32,
 }
 
-/// Why a request was not let in; it has not run.
+/// Reason for which a request was not admitted; the request has not run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ShedRequestError {
-    /// The class's queue is full, or the wait would outlast the deadline.
-    #[error("the queue is full; come back in {} ms", retry_after.as_millis())]
+    /// The queue of the class is full.
+    #[error("the queue is full; retry after {} ms", retry_after.as_millis())]
     QueueFull {
-        /// When a place is likely to be free.
+        /// Time after which a slot is likely to be free.
         retry_after: Duration,
     },
-    /// The deadline passed while the request waited.
+    /// The deadline passed before the request was admitted.
     #[error("the deadline passed before the request could start")]
     DeadlinePassed,
 }
@@ -71,14 +71,14 @@
     occupancy_ms: f64,
 }
 
-/// Lets requests in by class and fair share.
+/// Admits requests by class and fair share.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     limits: QueueLimits,
     state: Arc<Mutex<QueueState>>,
 }
 
-/// A place in flight; dropping it lets the next request in.
+/// An occupied slot; dropping it admits the next request.
 #[derive(Debug)]
 pub struct AdmissionTicket {
     queue: AdmissionQueue,
@@ -99,12 +99,12 @@
         Self { limits, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.lock().used
     }
 
-    /// Requests that wait, over all classes.
+    /// Returns the number of waiting requests of all classes.
     pub fn waiting(&self) -> usize {
         self.lock().classes.iter().map(|class| class.waiters.len()).sum()
     }
@@ -113,7 +113,7 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Places that a class may fill.
+    /// Returns the number of slots that a class may fill.
     fn slots_for(&self, class: Urgency) -> u32 {
         let slots = f64::from(self.limits.slots);
         let reserved = match class {
@@ -124,11 +124,12 @@
         ((slots * (1.0 - reserved)) as u32).max(1)
     }
 
-    /// Waits for a place.
+    /// Waits for a slot.
     ///
     /// # Errors
     ///
-    /// Fails at once where the class's queue is full, and when the deadline passes.
+    /// Returns an error at once if the class's queue is full, and otherwise when the deadline
+    /// passes.
     pub async fn enter(
         &self,
         class: Urgency,
@@ -197,7 +198,7 @@
         self.grant_next(&mut state, now);
     }
 
-    /// Gives free places to waiters, most urgent class first.
+    /// Grants free slots to waiting requests, most urgent class first.
     fn grant_next(&self, state: &mut QueueState, now: Instant) {
         for class in [Urgency::Urgent, Urgency::Normal, Urgency::Batch] {
             while state.used < self.slots_for(class) {
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Takes a waiter out; a place that was granted meanwhile is given on.
+    /// Removes a waiting request. If its slot was granted in the meantime, the slot passes to the
+    /// next request.
     fn abandon(&self, class: Urgency, id: u64) {
         let mut state = self.lock();
         let queue = &mut state.classes[class as usize];
@@ -240,7 +242,7 @@
     Queued(u64, oneshot::Receiver<()>),
 }
 
-/// Takes a waiter out of the queue when its request is given up.
+/// Removes a waiting request from the queue when its caller stops waiting.
 struct WaitGuard<'a> {
     queue: &'a AdmissionQueue,
     class: Urgency,
--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -1,60 +1,63 @@
-//! Counts what was done for one request, and decides whether another attempt may follow.
+//! Counts the attempts of one request, and decides whether another attempt may follow.
 //!
-//! Load pattern: workers that run what they get and then fall silent, or break off. Each attempt
-//! that is given up may have run, and the caller's route bounds on how many workers it may run.
+//! Load pattern: workers that start to run a request and then stop answering, or truncate their
+//! answers. Each attempt that is given up may have run, and the caller's route limits the number of
+//! workers that may run the request.
 //!
-//! Invariant: whatever may have run counts as run, both against that bound and in what the caller
-//! is told. Without it, six requests ran at three workers each where their route allows two.
+//! Invariant: an attempt that may have run counts as run, both against that limit and in the answer
+//! to the caller. Without this rule, six requests ran on three workers each although their route
+//! allows two.
 
 use hollowbarrow_schema::ErrorRan;
 use tokio::time::Instant;
 
 use crate::retry::{AttemptUpstreamError, RetryBudget};
 
-/// Most times that a request is sent, attempts that were turned away included: each of them costs
-/// its caller the time of a round trip.
+/// Maximum number of times that a request is sent. Attempts that were rejected count too, since
+/// each of them costs the caller a round trip.
 const MAX_SENDS: u32 = 4;
 
-/// What bounds the attempts at a request.
+/// Bounds on the attempts of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptBounds {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Most workers that it may run on.
+    /// Maximum number of workers that may run the request.
     pub max_runs: u32,
-    /// When it must be done.
+    /// Deadline of the request.
     pub deadline: Instant,
 }
 
-/// What was done for one request so far.
+/// Attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptLedger {
     sends: u32,
     runs: u32,
-    /// Whether what came of the last send is not noted yet.
+    /// Whether the outcome of the last send has not been recorded yet.
     pending: bool,
-    /// Whether the next attempt was taken from the budget already.
+    /// Whether the next attempt has already been charged to the budget.
     budgeted: bool,
 }
 
 impl AttemptLedger {
-    /// Creates the ledger of a request that was sent nowhere yet.
+    /// Creates the ledger of a request that has not been sent.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Times that the request was sent, or that a connection for it was asked for.
+    /// Returns how often the request was sent, or a connection for it was requested.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Notes that the request goes to a worker.
+    /// Records that the request is sent to a worker.
     pub fn record_send(&mut self) {
         self.sends += 1;
         self.pending = true;
     }
 
-    /// Notes what came of a send: each is noted once, when its answer begins or it has failed.
+    /// Records the outcome of a send. Each outcome is recorded once, when the answer begins or the
+    /// attempt has failed.
     pub fn record_outcome(&mut self, ran: ErrorRan) {
         self.pending = false;
         if ran != ErrorRan::NotRun {
@@ -62,25 +65,25 @@
         }
     }
 
-    /// Notes that another attempt was taken from the budget before the one under way is given up:
-    /// to give up what cannot be tried again would only lose it.
+    /// Records that another attempt was charged to the budget before the one in progress is given
+    /// up. Giving up an attempt that cannot be retried would only lose it.
     pub fn record_budgeted(&mut self) {
         self.budgeted = true;
     }
 
-    /// Whether any worker may have run the request.
+    /// Returns whether any worker may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// Whether no attempt may follow the one that is under way if its worker falls silent, so that
-    /// nothing is gained by giving it up.
+    /// Returns whether no attempt may follow the one in progress, so that nothing is gained by
+    /// giving it up when its worker stops answering.
     pub fn is_last(&self, bounds: &AttemptBounds) -> bool {
         let runs = self.runs + u32::from(self.pending);
         !bounds.repeatable || runs >= bounds.max_runs || self.sends >= MAX_SENDS
     }
 
-    /// Whether another attempt may follow this failure; takes it from the budget if so.
+    /// Returns whether another attempt may follow this failure, and charges it to the budget if so.
     pub fn may_repeat(
         &mut self,
         bounds: &AttemptBounds,
@@ -93,7 +96,7 @@
         if !safe || !bounded || now >= bounds.deadline {
             return false;
         }
-        // What never arrived at a worker amplifies nothing.
+        // An attempt that did not reach a worker amplifies no load, so it is not charged.
         let arrived = !matches!(
             error,
             AttemptUpstreamError::NotReached
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,15 +1,16 @@
-//! Which upstreams are to be sent nothing by this daemon, because they said so in an answer.
+//! Upstreams to which this daemon sends nothing because they asked for a backoff or are leaving.
 //!
-//! Load pattern: an upstream at its limit turns requests away and names the time for which it
-//! wants none. Left out for 0.8 s only, as one that has failed twice, it was sent 5 requests
-//! within 3 s for which it had asked for none, and each of them cost its caller a round trip. An
-//! upstream that is about to end says so in its answers, which also reach a daemon that is cut off
-//! from everybody who keeps a list.
+//! Load pattern: an upstream at its limit rejects requests and states how long it accepts none.
+//! When such an upstream was only ejected for 0.8 s, like one that has failed twice, it was sent 5
+//! requests within 3 s of a backoff it had asked for, and each of them cost its caller a round
+//! trip. An upstream that is about to terminate states so in its answers, which also reach a daemon
+//! that is partitioned from every daemon that maintains the upstream list.
 //!
-//! Trade-off: what no other upstream can take is refused meanwhile, although this one may have
-//! room before its time is over. It alone knows what it was asked by others.
+//! Trade-off: a request that no other upstream can serve is refused during the backoff, although
+//! this upstream may have capacity before the backoff expires. Only the upstream itself knows its
+//! load from other daemons.
 //!
-//! Invariant: a backoff is never shortened, and an upstream that is leaving never comes back.
+//! Invariant: a backoff is never shortened, and an upstream that is leaving is never used again.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -17,21 +18,21 @@
 
 use tokio::time::Instant;
 
-/// Longest backoff that is kept. A longer one is taken for a mistake: it would take an upstream
-/// out of service for good although it works.
+/// Upper bound on a backoff. A longer backoff is treated as a mistake: it would take a working
+/// upstream out of service permanently.
 const LONGEST_BACKOFF: Duration = Duration::from_secs(60 * 60);
 
-/// Why an upstream is to be sent nothing.
+/// Reason for which an upstream is sent nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackoffReason {
-    /// It asked for that, for this time from now on.
+    /// The upstream asked for a backoff, which lasts for this time from now.
     Requested(Duration),
-    /// It is about to end.
+    /// The upstream is about to terminate.
     Leaving,
 }
 
 impl BackoffReason {
-    /// After what time it wants requests again; none where it never will.
+    /// Returns the time after which the upstream accepts requests again; `None` if it never does.
     pub fn remaining(self) -> Option<Duration> {
         match self {
             Self::Requested(left) => Some(left),
@@ -42,7 +43,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct BackoffEntry {
-    /// Until when it asked for no requests.
+    /// End of the backoff that the upstream asked for.
     until: Option<Instant>,
     leaving: bool,
 }
@@ -57,7 +58,7 @@
     }
 }
 
-/// Upstreams that want no requests from this daemon.
+/// Upstreams that accept no requests from this daemon.
 #[derive(Clone, Debug)]
 pub struct BackoffTable<K> {
     entries: HashMap<K, BackoffEntry>,
@@ -70,40 +71,40 @@
 }
 
 impl<K: Clone + Eq + Hash> BackoffTable<K> {
-    /// Creates a table that knows of no upstream.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that an upstream asked for no requests for some time from now on.
+    /// Records that an upstream asked for a backoff of the given length.
     pub fn record_backoff(&mut self, upstream: &K, backoff: Duration, now: Instant) {
         let until = now + backoff.min(LONGEST_BACKOFF);
         let entry = self.entries.entry(upstream.clone()).or_default();
         entry.until = entry.until.max(Some(until));
     }
 
-    /// Notes that an upstream is about to end; false where that is known.
+    /// Records that an upstream is about to terminate; returns false if this is already known.
     pub fn record_leaving(&mut self, upstream: &K) -> bool {
         let entry = self.entries.entry(upstream.clone()).or_default();
         !std::mem::replace(&mut entry.leaving, true)
     }
 
-    /// Why an upstream is to be sent nothing now; none where it may be sent requests.
+    /// Returns why an upstream is sent nothing now; `None` if it may be sent requests.
     pub fn reason(&self, upstream: &K, now: Instant) -> Option<BackoffReason> {
         self.entries.get(upstream)?.reason(now)
     }
 
-    /// Forgets what is over, and upstreams that are not known any more.
+    /// Removes backoffs that have expired, and upstreams that are no longer known.
     pub fn prune(&mut self, known: impl Fn(&K) -> bool, now: Instant) {
         self.entries.retain(|upstream, entry| entry.reason(now).is_some() && known(upstream));
     }
 
-    /// Number of upstreams kept.
+    /// Returns the number of upstreams in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/routing/src/burst.rs
+++ b/crates/routing/src/burst.rs
@@ -1,16 +1,18 @@
-//! Tells a burst of a request that ends upstreams from a loss of upstreams that it only met.
+//! Distinguishes a burst of a request that crashes upstreams from a loss of upstreams that
+//! interrupted a harmless request.
 //!
-//! Load pattern: many copies of such a request come together and are sent before the first of them
-//! has ended its upstream. Forty copies took ten of ten upstreams down at once, and again each time
-//! that they came, since all ends of one moment were taken for one event, as a lost rack is.
+//! Load pattern: many duplicates of such a request arrive together and are sent before the first of
+//! them has crashed its upstream. When all terminations of one moment were taken for one event,
+//! such as the loss of a rack, forty duplicates crashed ten of ten upstreams at once, and again
+//! each time that they arrived.
 //!
-//! What tells them apart: a request that ends upstreams was under way at those that ended and is
-//! answered by none; a loss also takes upstreams that were running something else, and of a
-//! request that many send alike some copies are answered elsewhere.
+//! The criterion: a request that crashes upstreams was in progress at those that terminated and is
+//! answered by none. A loss also takes upstreams that were running something else, and some
+//! duplicates of a request that many callers send are answered elsewhere.
 //!
 //! Trade-off: a request that was never answered before and runs nearly everywhere looks guilty when
-//! everything is lost. It is held for as long as upstreams take to come back, and its first answer
-//! clears it. `tests/crash_bursts.rs` has the rates of the ways that were weighed.
+//! all upstreams are lost. It is quarantined for as long as upstreams take to restart, and its
+//! first answer clears it. `tests/crash_bursts.rs` prints the rates of the alternatives.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,32 +21,34 @@
 
 use crate::crashes::TerminatedRun;
 
-/// Upstreams that end under a request within one moment, from which on it is suspected. Two are
-/// often lost together, by chance or with their rack.
+/// Number of upstreams that must terminate under a request within one window for it to be
+/// suspected. Two are often lost together, by chance or with their rack.
 const MIN_TERMINATIONS: usize = 3;
-/// Time before and after an end that is one moment: copies that are sent together end their upstreams
-/// within it, unless these work on them for more than a second before. Two losses are further apart.
+/// Time before and after a termination that belongs to the same burst. Duplicates that are sent
+/// together crash their upstreams within it, unless upstreams work on them for more than a second
+/// before. Two separate losses are further apart.
 const BURST_WINDOW: Duration = Duration::from_millis(300);
-/// Part of all upstreams that ended in that moment which had the request under way. More than one
-/// such request may come at once, and something else may be lost meanwhile.
+/// Share of all upstreams that terminated within the window on which the request must have been in
+/// progress. More than one such request may arrive at once, and upstreams may be lost for other
+/// reasons in the same window.
 const MIN_COVERAGE: f64 = 0.3;
-/// How many times further apart than their ends the lengths of runs are, where all were broken off
-/// by one event.
+/// Factor by which the spread of the run lengths exceeds the spread of the run ends if one event
+/// interrupted all runs.
 const LENGTH_SPREAD_RATIO: u32 = 2;
-/// Difference between the lengths of runs below which it says nothing: all were sent together.
+/// Spread of the run lengths up to which it is no evidence, since all runs were sent together.
 const MIN_LENGTH_SPREAD: Duration = Duration::from_millis(60);
-/// Most ends kept, about 40 KB; more than all upstreams that are lost within an hour in a fleet of
-/// the size that is planned for, a lost zone included.
+/// Maximum number of terminations kept, about 40 KB. It exceeds the number of upstreams that are
+/// lost within an hour in a fleet of the planned size, including the loss of a zone.
 const MAX_TERMINATIONS: usize = 1024;
 
-/// When upstreams were seen to end, whatever was under way there.
+/// When upstreams were observed to terminate, whatever they were running.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpstreamTerminations {
     at: HashMap<u64, Instant>,
 }
 
 impl UpstreamTerminations {
-    /// Notes an end; the earliest time that was told counts.
+    /// Records a termination; the earliest reported time is kept.
     pub(crate) fn record(&mut self, upstream: u64, ended: Instant) {
         let at = self.at.entry(upstream).or_insert(ended);
         *at = ended.min(*at);
@@ -54,18 +58,19 @@
         }
     }
 
-    /// Upstreams that ended within a span of time.
+    /// Counts the upstreams that terminated within a period.
     fn count(&self, from: Instant, to: Instant) -> usize {
         self.at.values().filter(|at| **at >= from && **at <= to).count()
     }
 
-    /// Forgets what does not count any more.
+    /// Removes terminations that are no longer recent.
     pub(crate) fn prune(&mut self, recent: impl Fn(Instant) -> bool) {
         self.at.retain(|_, at| recent(*at));
     }
 }
 
-/// When the first burst of a request was over, if it came in one; each run is at another upstream.
+/// Returns the end of the first burst of a request, if it arrived in one; each run is on another
+/// upstream.
 pub(crate) fn find_burst(
     runs: &[TerminatedRun],
     terminations: &UpstreamTerminations,
@@ -75,7 +80,7 @@
     bursts.filter_map(|burst| burst.iter().map(|run| run.ended).max()).min()
 }
 
-/// Runs that ended at about this time.
+/// Returns the runs that ended within the window around a time.
 fn runs_around(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
     let distance = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
     runs.iter().filter(|run| distance(run) <= BURST_WINDOW).copied().collect()
@@ -88,8 +93,9 @@
     runs.len() >= MIN_TERMINATIONS && covered && !is_common_cause(runs)
 }
 
-/// Whether runs ended together although they were sent apart, as what a loss breaks off. Under a
-/// request that ends upstreams they end as far apart as they were sent, or further.
+/// Returns whether the runs ended together although they were sent apart, as runs that a loss
+/// interrupts. Runs of a request that crashes upstreams end at least as far apart as they were
+/// sent.
 fn is_common_cause(runs: &[TerminatedRun]) -> bool {
     let ends = runs.iter().map(|run| run.ended);
     let lengths = runs.iter().map(|run| run.ended.saturating_duration_since(run.sent));
--- a/crates/routing/src/config_freshness.rs
+++ b/crates/routing/src/config_freshness.rs
@@ -1,25 +1,25 @@
-//! Whether a daemon may tell a caller that something is not in the configuration.
+//! Decides whether a daemon may tell a caller that something is not in the configuration.
 //!
-//! Callers do not ask again after such a refusal, so it needs a configuration that is known to be
-//! the newest. A daemon that is not sure says when to come back, and goes on serving what its
-//! configuration has.
+//! Callers do not retry after this refusal, so it requires a configuration that is known to be the
+//! newest. A daemon that cannot confirm this returns a Retry-After delay instead, and continues to
+//! serve what its configuration contains.
 
 use std::time::Duration;
 
-/// What a daemon knows of how old its configuration is.
+/// The age of a daemon's configuration, as far as the daemon knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigFreshness {
-    /// Version in force here; 0 means none.
+    /// Version in force at this daemon; 0 means none.
     pub version: u64,
-    /// Newest version that a leader has told of; 0 means none.
+    /// Newest version that a leader has reported; 0 means none.
     pub known: u64,
-    /// Time since a leader last told what is newest; none if none has.
+    /// Time since a leader last confirmed which version is newest; `None` if none has.
     pub confirmation_age: Option<Duration>,
 }
 
 impl ConfigFreshness {
-    /// Whether what this configuration does not have is in none that has to be in force, where the
-    /// leader's word holds for so long.
+    /// Returns whether what this configuration lacks is also missing from every configuration that
+    /// must be in force, if the leader's confirmation is valid for `validity`.
     pub fn is_current(&self, validity: Duration) -> bool {
         let recent = self.confirmation_age.is_some_and(|age| age <= validity);
         recent && self.version >= self.known
--- a/crates/routing/src/copies.rs
+++ b/crates/routing/src/copies.rs
@@ -1,18 +1,20 @@
-//! Bounds how many copies of a request that nobody has seen answered are under way at a daemon.
+//! Bounds the duplicates in progress at a daemon of a request that is not known to have been
+//! answered.
 //!
-//! Load pattern: a request that ends upstreams comes forty times at once. Nothing is known of it
-//! yet, and by the time that the first of them has ended its upstream all others are under way,
-//! each at another one.
+//! Load pattern: forty duplicates of a request that crashes upstreams arrive at once. Nothing is
+//! known of the request yet, and by the time that the first duplicate has crashed its upstream all
+//! others are in progress, each on another upstream.
 //!
-//! Decision: the first copy goes alone. What comes meanwhile waits until something of its answer
-//! has come, and then goes without a bound: a request that is answered is no danger. Where its
-//! upstream ends, the daemon sends no copy until it can have heard what others have seen of the
-//! same request; by then it is held if it ended three upstreams in all. So a burst ends one
-//! upstream a daemon, and one more where a daemon has a single copy, which is repeated at once.
+//! Decision: the first duplicate is sent alone. Those that arrive meanwhile wait until part of its
+//! answer has been received, and are then sent without a bound, since a request that is answered is
+//! harmless. If its upstream terminates, the daemon sends no duplicate until it can have received
+//! what other daemons observed of the same request; by then the request is quarantined if it
+//! crashed three upstreams in all. A burst thus crashes one upstream per daemon, and one more where
+//! a daemon has a single duplicate, which is retried at once.
 //!
-//! Trade-off: copies of a harmless request that nobody has sent before wait for its first event,
-//! some 80 ms, once. A request that ends its upstream after its first event is not bounded by
-//! this, only by what follows its burst.
+//! Trade-off: duplicates of a harmless request that is new to the daemon wait for its first event
+//! once, about 80 ms. A request that crashes its upstream after its first event is not bounded
+//! here, but only by the quarantine that follows its burst.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -22,25 +24,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time in which daemons hear what others have seen of a request: two messages and a view, each
-/// sent at least every 90 ms, and as much again for machines that are busy.
+/// Time within which daemons receive what others have observed of a request: two messages and a
+/// view, each sent at least every 90 ms, and as much again for busy machines.
 const PROPAGATION_TIME: Duration = Duration::from_millis(600);
 
-/// Whether a copy may go.
+/// Whether a duplicate may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateStep {
-    /// It may.
+    /// The duplicate may be sent.
     Go,
-    /// Not before another one has shown progress or ended, or before this moment.
+    /// The duplicate waits until another one has shown progress or ended, or until this time.
     Wait(Option<Instant>),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DuplicateEntry {
     in_progress: u32,
-    /// Whether others have come while one was under way or awaited news.
+    /// Whether other duplicates arrived while one was in progress or during a pause.
     has_others: bool,
-    /// Whether something of an answer has come.
+    /// Whether part of an answer has been received.
     proven: bool,
     paused_until: Option<Instant>,
 }
@@ -51,21 +53,22 @@
     }
 }
 
-/// Copies under way, by request.
+/// Duplicates in progress, by request.
 #[derive(Clone, Debug, Default)]
 pub struct DuplicateLimiter {
     entries: HashMap<RequestDigest, DuplicateEntry>,
-    /// Entries that are kept for a pause, in the order in which these end.
+    /// Entries that are kept for a pause, in order of the end of the pause.
     paused: VecDeque<(Instant, RequestDigest)>,
 }
 
 impl DuplicateLimiter {
-    /// Creates a limiter that knows of no copy.
+    /// Creates an empty limiter.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Has a copy go if it may; `answered` says that such a request was answered before.
+    /// Starts a duplicate if it may be sent; `answered` states that the request was answered
+    /// before.
     pub fn begin(&mut self, request: RequestDigest, answered: bool, now: Instant) -> DuplicateStep {
         self.prune(now);
         let entry = self.entries.entry(request).or_default();
@@ -84,15 +87,15 @@
         DuplicateStep::Go
     }
 
-    /// Notes that something of an answer came.
+    /// Records that part of an answer was received.
     pub fn record_progress(&mut self, request: RequestDigest) {
         if let Some(entry) = self.entries.get_mut(&request) {
             entry.proven = true;
         }
     }
 
-    /// Notes that an upstream ended under a copy; until when it is not repeated, where there are
-    /// others.
+    /// Records that an upstream terminated while it ran a duplicate. Returns the time until which
+    /// the duplicate must not be retried, if there are other duplicates.
     pub fn record_crash(&mut self, request: RequestDigest, now: Instant) -> Option<Instant> {
         let entry = self.entries.get_mut(&request)?;
         if entry.proven || !entry.has_others {
@@ -104,7 +107,7 @@
         Some(until)
     }
 
-    /// Notes that a copy is not under way any more.
+    /// Records that a duplicate is no longer in progress.
     pub fn end(&mut self, request: RequestDigest, now: Instant) {
         if let Some(entry) = self.entries.get_mut(&request) {
             entry.in_progress = entry.in_progress.saturating_sub(1);
@@ -114,12 +117,12 @@
         }
     }
 
-    /// Number of requests kept.
+    /// Returns the number of requests kept.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether no request is kept.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -151,13 +154,13 @@
     }
 }
 
-/// Lets copies of a request through as the limiter says.
+/// Admits duplicates of a request as the limiter allows.
 #[derive(Clone, Debug, Default)]
 pub struct DuplicateGate {
     state: Arc<GateState>,
 }
 
-/// A copy under way; dropping it lets another one go.
+/// A duplicate in progress; dropping it allows another one to be sent.
 #[derive(Debug)]
 pub struct DuplicateTicket {
     state: Arc<GateState>,
@@ -165,12 +168,13 @@
 }
 
 impl DuplicateGate {
-    /// Creates a gate without copies.
+    /// Creates a gate without duplicates.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Waits until a copy may go, until the limit; none as soon as it is known not to go by then.
+    /// Waits until a duplicate may be sent, at most until the limit. Returns `None` as soon as it
+    /// is known that the duplicate may not be sent by then.
     pub async fn enter(
         &self,
         request: RequestDigest,
@@ -198,14 +202,14 @@
 }
 
 impl DuplicateTicket {
-    /// Notes that something of an answer came.
+    /// Records that part of an answer was received.
     pub fn record_progress(&self) {
         self.state.limiter().record_progress(self.request);
         self.state.changed.notify_waiters();
     }
 
-    /// Notes that an upstream ended under this copy; until when it is not repeated, where there are
-    /// others.
+    /// Records that an upstream terminated while it ran this duplicate. Returns the time until
+    /// which the duplicate must not be retried, if there are other duplicates.
     pub fn record_crash(&self) -> Option<Instant> {
         self.state.limiter().record_crash(self.request, Instant::now())
     }
--- a/crates/routing/src/crash_tracker.rs
+++ b/crates/routing/src/crash_tracker.rs
@@ -1,7 +1,8 @@
-//! What one daemon knows of requests under which upstreams end, and what it tells others.
+//! What one daemon knows of requests that crash upstreams, and what it sends to other daemons.
 //!
-//! A daemon passes on the runs that it saw or heard of, which keep their age on the way, but only
-//! those answers that it saw itself: an answer that went round would seem newer each time.
+//! A daemon forwards the runs that it observed or received, which keep their age, but only those
+//! answers that it observed itself: an answer that was forwarded in a circle would seem newer each
+//! time.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -11,11 +12,11 @@
 
 use crate::crashes::{CrashLedger, QuarantineState, TerminatedRun, to_ms};
 
-/// Answers that are remembered, about 0.2 MB: those of a minute at 70 requests a second, the
-/// busiest daemon at the size that is planned for.
+/// Maximum number of answers remembered, about 0.2 MB: those of a minute at 70 requests a second,
+/// the load of the busiest daemon at the planned size.
 const MAX_ANSWERS: usize = 4096;
 
-/// When requests were last answered whole here; the oldest are forgotten first.
+/// When requests were last answered completely by this daemon; the oldest are evicted first.
 #[derive(Debug, Default)]
 struct RecentAnswers {
     at: HashMap<RequestDigest, Instant>,
@@ -39,7 +40,7 @@
     }
 }
 
-/// Knows which requests are to be sent to no upstream.
+/// Tracks which requests must not be sent to any upstream.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     ledger: CrashLedger,
@@ -47,37 +48,38 @@
 }
 
 impl CrashTracker {
-    /// Creates a watch that knows of no request.
+    /// Creates an empty tracker.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that an upstream ended while it ran a request.
+    /// Records that an upstream terminated while it ran a request.
     pub fn record_run(&mut self, request: RequestDigest, run: TerminatedRun) {
         self.ledger.record_run(request, run);
         self.contradict(request);
     }
 
-    /// Notes that a request was answered whole.
+    /// Records that a request was answered completely.
     pub fn record_answer(&mut self, request: RequestDigest, now: Instant) {
         self.ledger.record_answer(request, now);
         self.answers.record(request, now);
     }
 
-    /// Whether such a request was answered here lately.
+    /// Returns whether this daemon recently answered this request.
     pub fn was_answered(&self, request: RequestDigest) -> bool {
         self.answers.get(request).is_some()
     }
 
-    /// Has it said from now on when a suspected request was answered here; false if it was not.
+    /// Adds the time at which this daemon answered a suspected request to the records it sends;
+    /// returns false if it has not answered the request.
     pub fn contradict(&mut self, request: RequestDigest) -> bool {
         let Some(answered) = self.answers.get(request) else { return false };
         self.ledger.contradict(request, answered);
         true
     }
 
-    /// Takes an operator's word that a request does no harm: what had ended under it by then counts
-    /// no more, here and wherever this is told.
+    /// Records an operator's decision that a request is harmless: upstreams that terminated under
+    /// it until then no longer count, here and at every daemon that receives the record.
     pub fn release(&mut self, request: RequestDigest, at: Instant) {
         self.ledger.contradict(request, at);
         if self.answers.get(request).is_none_or(|known| known < at) {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Takes in what another daemon told.
+    /// Merges records that another daemon sent.
     pub fn merge(&mut self, records: &[CrashRecord], now: Instant) {
         self.ledger.merge(records, now);
         for record in records {
@@ -93,12 +95,12 @@
         }
     }
 
-    /// For how long a request is to be sent to no upstream; none where it may be.
+    /// Returns the remaining quarantine of a request; `None` if the request may be sent.
     pub fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         self.ledger.quarantine_left(request, now)
     }
 
-    /// How a request is held; none where it is not known to end upstreams.
+    /// Returns the quarantine of a request; `None` if the request is not known to crash upstreams.
     pub fn quarantine_state(
         &self,
         request: RequestDigest,
@@ -107,7 +109,7 @@
         self.ledger.quarantine_state(request, now)
     }
 
-    /// Records to tell others now; forgets what is too old.
+    /// Returns the records that are due to be sent now, and removes those that are too old.
     pub fn due(&mut self, now: Instant) -> Vec<CrashRecord> {
         self.ledger.prune(now);
         let mut records = self.ledger.due(now);
--- a/crates/routing/src/crashes.rs
+++ b/crates/routing/src/crashes.rs
@@ -1,18 +1,20 @@
-//! Tells requests under which upstreams end from requests that only were there.
+//! Distinguishes requests that crash upstreams from requests that were only in progress at
+//! upstreams that terminated.
 //!
-//! Load pattern: a request that an upstream cannot bear ends each one that begins to run it, and
-//! its caller sends it again, at any daemon and under a new identity. Without a memory across
-//! arrivals 36 upstreams ended under one request, two for each time that it came.
+//! Load pattern: a request that upstreams cannot handle crashes each upstream that starts to run
+//! it, and its caller sends it again, at any daemon and under a new identity. Without a record that
+//! survives the single arrival, 36 upstreams terminated under one request, two for each time that
+//! it arrived.
 //!
-//! Upstreams also end by themselves, many at once, and break off whatever is under way there. Such
-//! an event is one piece of evidence however many it takes: runs count only where each was sent
-//! after the one before had ended, at another upstream, with no whole answer since. A request that
-//! is asked for often and does no harm is answered in between, and one that was answered before
-//! needs more of them. Many copies of one that was never answered are told from such an event by
-//! which upstreams ended ([`crate::burst`]).
+//! Upstreams also terminate for other reasons, many at once, and interrupt whatever is in progress
+//! there. Such an event is one piece of evidence, however many upstreams it affects: runs count
+//! only if each was sent after the previous one had ended, on another upstream, without a complete
+//! answer since. A harmless request that is sent often is answered in between, and a request that
+//! was answered before needs more such runs. Many duplicates of a request that was never answered
+//! are distinguished from such an event by which upstreams terminated ([`crate::burst`]).
 //!
-//! Runs are merged by keeping the earliest time that was told of each, so that passing a record on
-//! does not make it younger.
+//! Runs are merged by keeping the earliest time that was reported of each, so that forwarding a
+//! record does not make it younger.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,76 +24,82 @@
 
 use crate::burst::{UpstreamTerminations, find_burst};
 
-/// When a request is held.
+/// When a request is quarantined.
 #[derive(Clone, Copy, Debug)]
 struct QuarantineRule {
-    /// Runs one after the other, each ended with its upstream, after which it is held.
+    /// Number of consecutive runs that ended with their upstreams after which the request is
+    /// quarantined.
     runs: usize,
-    /// Time for which it is held after the last of them; each further run doubles it.
+    /// Length of the quarantine after the last of these runs; each further run doubles it.
     base: Duration,
 }
 
-/// For a request that was never answered. With two runs a request that was broken off twice by
-/// others would lose its caller's repeat; each one more costs a replica. Each end of a hold may
-/// cost a replica again, which takes half a minute to load elsewhere.
+/// Rule for a request that was never answered. With two runs, a request that was interrupted twice
+/// for other reasons could not be retried by its caller; each further run costs a replica. Each
+/// expiry of a quarantine may cost another replica, which takes half a minute to load elsewhere.
 const NEVER_ANSWERED: QuarantineRule = QuarantineRule { runs: 3, base: Duration::from_secs(120) };
-/// For a request that was never answered and came in a burst: a short hold, since everything may
-/// have been lost at once. It ends with one copy more, which is answered or proves the suspicion.
+/// Quarantine of a request that was never answered and arrived in a burst. It is short, since
+/// everything may have been lost at once. When it expires, one more duplicate is sent, which is
+/// answered or confirms the suspicion.
 const BURST_QUARANTINE: Duration = Duration::from_secs(10);
-/// Time for which a daemon must have watched before the first run of a request to know that it was
-/// not answered: what is asked for often is answered in it.
+/// Time for which a daemon must have observed answers before the first run of a request to know
+/// that the request was not answered: a request that is sent often is answered within this time.
 const MIN_OBSERVATION_TIME: Duration = Duration::from_secs(10);
-/// For a request of which nobody who is left may know whether it was answered. After all who had
-/// seen it answered had ended, one was refused for two minutes that heads had ended under in turn;
-/// a shorter hold ends with one copy, whose answer clears it, or costs one more replica.
+/// Rule for a request of which no remaining daemon may know whether it was answered. After all
+/// daemons that had seen it answered had terminated, a request was refused for two minutes because
+/// heads had terminated under it in turn. A shorter quarantine ends with one duplicate, whose
+/// answer clears the request or which costs one more replica.
 const UNOBSERVED: QuarantineRule = QuarantineRule { runs: 3, base: Duration::from_secs(30) };
-/// For a request that was answered before. Where many callers send it alike, it is under way at
-/// every upstream that ends: while requests ended replica after replica, another one that was
-/// answered ten times a second was broken off three times in turn, and then refused 725 times in a
-/// minute. A short hold lets it be tried, and the first answer clears it.
+/// Rule for a request that was answered before. If many callers send the same request, it is in
+/// progress at every upstream that terminates: while other requests crashed replica after replica,
+/// such a request, which was answered ten times a second, was interrupted three times in turn and
+/// then refused 725 times in a minute. A short quarantine allows a retry, and the first answer
+/// clears the request.
 const ANSWERED_BEFORE: QuarantineRule = QuarantineRule { runs: 6, base: Duration::from_secs(10) };
-/// Longest time for which a request is held after its last run.
+/// Maximum length of a quarantine after the last run.
 const MAX_QUARANTINE: Duration = Duration::from_secs(16 * 60);
-/// Time after which a run counts no more: what ran then, or what it ran on, may have changed.
+/// Time after which a run no longer counts: the program that ran then, or the machine that it ran
+/// on, may have changed.
 const RETENTION: Duration = Duration::from_secs(60 * 60);
-/// Doublings that take the shortest hold to the longest.
+/// Number of doublings after which the shortest quarantine exceeds the longest.
 const MAX_DOUBLINGS: u32 = 7;
-/// Most runs kept of a request: as many as take it to the longest hold.
+/// Maximum number of runs kept of a request: as many as extend its quarantine to the maximum.
 const MAX_RUNS: usize = 14;
-/// Most requests kept, about 1 MB.
+/// Maximum number of requests kept, about 1 MB.
 const MAX_REQUESTS: usize = 4096;
-/// Part of them that is dropped at once where there are more, so that not each one costs a look at
-/// all others.
+/// One in this many requests is evicted at once when there are too many, so that not every new
+/// request costs a scan of all others.
 const EVICTION_DIVISOR: usize = 8;
-/// Most records told at once, so that many broken requests at once cost 2.4 KB a message at most
-/// (16 with three runs each, as encoded).
+/// Maximum number of records in one message, so that many interrupted requests at once cost at most
+/// 2.4 KB a message (16 records with three runs each, as encoded).
 const MAX_SENT_RECORDS: usize = 16;
-/// Most held requests told at once.
+/// Maximum number of quarantined requests in one message.
 const MAX_SENT_QUARANTINES: usize = 64;
-/// Time after its end for which a request's only run is told again. A storm breaks thousands of
-/// requests off once, and those are told to nobody who needs them later: told for an hour, 430 of
-/// them took 32 KB a second of a gateway's 4.
+/// Time after its end for which the only run of a request is sent again. A loss of many upstreams
+/// interrupts thousands of requests once, and their records are of no use later: when they were
+/// sent for an hour, 430 of them took 32 KB a second, where a gateway otherwise sends 4 KB.
 const SINGLE_RUN_RESEND_TIME: Duration = Duration::from_secs(10);
-/// Pause after which a record is told again, in case it was lost or whoever heard it has gone.
+/// Interval after which a record is sent again, in case the message was lost or its receivers have
+/// departed.
 const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How a request is held that is known to end upstreams.
+/// Quarantine of a request that is known to crash upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineState {
-    /// It is to be sent to no upstream for this time.
+    /// The request must not be sent to any upstream for this time.
     Active(Duration),
-    /// It may be tried once more; the hold has been over for this time.
+    /// The request may be sent as a probe request; the quarantine expired this long ago.
     Expired(Duration),
 }
 
-/// A run that ended with its upstream.
+/// A run during which its upstream's process terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TerminatedRun {
-    /// Digest over the name of the upstream's life.
+    /// Digest of the name of the upstream's instance.
     pub upstream: u64,
-    /// When the request was sent there.
+    /// When the request was sent to the upstream.
     pub sent: Instant,
-    /// When the upstream's end showed.
+    /// When the termination of the upstream was detected.
     pub ended: Instant,
 }
 
@@ -99,12 +107,12 @@
 struct RequestEntry {
     runs: Vec<TerminatedRun>,
     answered: Option<Instant>,
-    /// When it was last told of since it has changed.
+    /// When the record was last sent; `None` if it has changed since.
     last_sent: Option<Instant>,
 }
 
 impl RequestEntry {
-    /// Adds a run, or moves one to an earlier time; false where it is known.
+    /// Adds a run, or moves a known one to an earlier time; returns false if nothing changes.
     fn add_run(&mut self, run: TerminatedRun) -> bool {
         match self.runs.iter_mut().find(|known| known.upstream == run.upstream) {
             Some(known) if known.ended <= run.ended => return false,
@@ -121,12 +129,12 @@
         self.runs.last().map(|run| run.ended)
     }
 
-    /// Number of runs since the last whole answer, each sent after the one before had ended.
+    /// Counts the runs since the last complete answer, each sent after the previous one had ended.
     fn chain(&self) -> usize {
         self.chain_since(self.answered)
     }
 
-    /// Number of runs after some moment, each sent after the one before had ended.
+    /// Counts the runs that ended after a given time, each sent after the previous one had ended.
     fn chain_since(&self, since: Option<Instant>) -> usize {
         let mut chain = 0;
         let mut last: Option<Instant> = None;
@@ -141,12 +149,14 @@
         chain
     }
 
-    /// Orders requests by how likely they end upstreams, and those alike by how new that is.
+    /// Returns the key by which requests are ordered: first by how likely they crash upstreams,
+    /// then by how recent their last run is.
     fn suspicion(&self) -> (usize, usize, Option<Instant>) {
         (self.chain(), self.runs.len(), self.last_end())
     }
 
-    /// Whether others are to be told of it now: of what is new, and now and then of the rest.
+    /// Returns whether the record is due to be sent: at once if it has changed, and at intervals
+    /// otherwise.
     fn is_due(&self, now: Instant) -> bool {
         let Some(last_sent) = self.last_sent else { return true };
         let within = |at: Instant, time: Duration| now.saturating_duration_since(at) < time;
@@ -154,7 +164,7 @@
         !within(last_sent, RESEND_INTERVAL) && (fresh || self.runs.len() > 1)
     }
 
-    /// Until when the request is held; none where it is not known to end upstreams.
+    /// Returns the end of the quarantine; `None` if the request is not known to crash upstreams.
     fn quarantined_until(&self, ledger: &CrashLedger) -> Option<Instant> {
         let quarantine = self
             .quarantine_by_sequence(ledger)
@@ -162,7 +172,7 @@
         self.last_end().map(|ended| ended + quarantine.min(MAX_QUARANTINE))
     }
 
-    /// For how long runs that followed each other hold the request.
+    /// Returns the quarantine that follows from consecutive runs.
     fn quarantine_by_sequence(&self, ledger: &CrashLedger) -> Option<Duration> {
         let rule = match (self.answered, self.runs.first()) {
             (Some(_), _) => ANSWERED_BEFORE,
@@ -173,7 +183,7 @@
         Some(doubled(rule.base, beyond))
     }
 
-    /// For how long a burst holds the request, and what has followed it.
+    /// Returns the quarantine that follows from a burst and the runs after it.
     fn quarantine_by_burst(&self, terminations: &UpstreamTerminations) -> Option<Duration> {
         if self.answered.is_some() {
             return None;
@@ -183,38 +193,39 @@
     }
 }
 
-/// A hold after so many runs beyond those that it takes.
+/// Doubles a quarantine for each run beyond those that the rule requires.
 fn doubled(first: Duration, beyond: usize) -> Duration {
     first * 2u32.pow(u32::try_from(beyond).unwrap_or(u32::MAX).min(MAX_DOUBLINGS))
 }
 
-/// Requests under which upstreams have ended.
+/// Requests during which upstreams terminated.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<RequestDigest, RequestEntry>,
     terminations: UpstreamTerminations,
-    /// Since when this daemon and others have told it of answers; none if they always have.
+    /// Since when this daemon has learnt of answers, its own and those of other daemons; `None` if
+    /// it always has.
     observing_since: Option<Instant>,
 }
 
 impl CrashLedger {
-    /// Creates a ledger that knows of no request.
+    /// Creates an empty ledger.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets since when answers would have been heard of.
+    /// Sets the time since which the ledger has learnt of answers.
     pub fn with_observation_since(mut self, since: Instant) -> Self {
         self.observing_since = Some(since);
         self
     }
 
-    /// Whether answers for a while before this moment would be known.
+    /// Returns whether answers shortly before this time would be known.
     fn was_observing(&self, at: Instant) -> bool {
         self.observing_since.is_none_or(|since| since + MIN_OBSERVATION_TIME <= at)
     }
 
-    /// Notes that an upstream ended while it ran a request.
+    /// Records that an upstream terminated while it ran a request.
     pub fn record_run(&mut self, request: RequestDigest, run: TerminatedRun) {
         self.terminations.record(run.upstream, run.ended);
         let entry = self.requests.entry(request).or_default();
@@ -224,20 +235,20 @@
         self.evict_surplus();
     }
 
-    /// Notes that a request was answered whole. One of which nothing is known is passed over.
+    /// Records that a request was answered completely. An unknown request is ignored.
     pub fn record_answer(&mut self, request: RequestDigest, at: Instant) {
         if let Some(entry) = self.requests.get_mut(&request) {
             set_answered(entry, at);
         }
     }
 
-    /// Notes that a request which another daemon suspects was answered whole here.
+    /// Records that a request which another daemon suspects was answered completely here.
     pub fn contradict(&mut self, request: RequestDigest, answered: Instant) {
         set_answered(self.requests.entry(request).or_default(), answered);
         self.evict_surplus();
     }
 
-    /// Takes in what another daemon told.
+    /// Merges records that another daemon sent.
     pub fn merge(&mut self, records: &[CrashRecord], now: Instant) {
         for record in records {
             let entry = self.requests.entry(record.request).or_default();
@@ -258,7 +269,7 @@
         self.evict_surplus();
     }
 
-    /// For how long a request is to be sent to no upstream; none where it may be.
+    /// Returns the remaining quarantine of a request; `None` if the request may be sent.
     pub fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         match self.quarantine_state(request, now)? {
             QuarantineState::Active(left) => Some(left),
@@ -266,7 +277,7 @@
         }
     }
 
-    /// How a request is held; none where it is not known to end upstreams.
+    /// Returns the quarantine of a request; `None` if the request is not known to crash upstreams.
     pub fn quarantine_state(
         &self,
         request: RequestDigest,
@@ -279,7 +290,7 @@
         })
     }
 
-    /// Requests that are known to end upstreams, the latest first.
+    /// Returns the requests that are known to crash upstreams, the latest end of quarantine first.
     pub fn quarantined(&self, now: Instant) -> Vec<HeldRequest> {
         let known = |(request, entry): (&RequestDigest, &RequestEntry)| {
             Some((entry.quarantined_until(self)?, *request))
@@ -295,11 +306,12 @@
         quarantined.into_iter().map(to_message).collect()
     }
 
-    /// Records to tell others now: those that have changed, and those not told for a while.
+    /// Returns the records that are due to be sent now: those that have changed, and those not sent
+    /// for a while.
     pub fn due(&mut self, now: Instant) -> Vec<CrashRecord> {
         let mut due: Vec<_> =
             self.requests.iter_mut().filter(|(_, entry)| entry.is_due(now)).collect();
-        // Those that are likest to be held first, and of these the newest.
+        // Requests most likely to be quarantined come first, and of these the most recent.
         due.sort_by_key(|(_, entry)| std::cmp::Reverse(entry.suspicion()));
         due.truncate(MAX_SENT_RECORDS);
         let mut records = Vec::with_capacity(due.len());
@@ -310,7 +322,7 @@
         records
     }
 
-    /// Forgets runs of long ago.
+    /// Removes runs that are older than the retention time.
     pub fn prune(&mut self, now: Instant) {
         let recent = |at: Instant| now.saturating_duration_since(at) < RETENTION;
         self.terminations.prune(recent);
@@ -320,17 +332,17 @@
         });
     }
 
-    /// Number of requests kept.
+    /// Returns the number of requests kept.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether no request is kept.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Drops the requests that matter least where there are too many, several at once.
+    /// Evicts the least suspected requests if there are too many, several at once.
     fn evict_surplus(&mut self) {
         if self.requests.len() <= MAX_REQUESTS {
             return;
@@ -346,8 +358,8 @@
 }
 
 fn set_answered(entry: &mut RequestEntry, at: Instant) {
-    // Told again with some delay, the same answer seems a little later each time: that is nothing
-    // new. Where it is, it matters only if it came after a run.
+    // When the same answer is reported again with some delay, it seems a little later each time,
+    // which is no change. A later answer matters only if it follows a run.
     let matters = entry.runs.is_empty() && entry.answered.is_none()
         || entry.runs.iter().any(|run| run.ended <= at && entry.answered < Some(run.ended));
     entry.answered = entry.answered.max(Some(at));
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,19 +1,17 @@
-//! Where each request goes, how many are let in, and what is tried again.
+//! Decisions of the request path: upstream selection, admission, rate limits and retries.
 //!
-//! This crate holds the decisions of the request path without its input and
-//! output: [`RoutePicker`] chooses an upstream, [`AdmissionQueue`] lets requests
-//! in by priority and fair share, [`OrganisationLimiter`] holds organisations to
-//! their limits, [`AdaptiveLimit`] bounds what one upstream gets, [`retry`] and
-//! [`AttemptLedger`] say what may be tried again without breaking a promise,
-//! [`CrashTracker`] which requests end the upstreams that they run on, [`DuplicateGate`]
-//! how many copies of a request that nobody has seen answered go at once,
-//! [`BackoffTable`] which upstreams want no requests, [`LimitTable`] which take
-//! only so many a second, [`PermitIssuer`] and [`PermitHolder`] who may send
-//! those, and [`ConfigFreshness`] whether a caller may be told that
-//! something does not exist.
+//! The crate performs no I/O. [`RoutePicker`] selects an upstream, [`AdmissionQueue`] admits
+//! requests by priority and fair share, [`OrganisationLimiter`] enforces the limits of
+//! organisations, and [`AdaptiveLimit`] bounds the requests in flight at one upstream. [`retry`]
+//! and [`AttemptLedger`] decide which requests may be retried safely. [`CrashTracker`] quarantines
+//! requests that crash the upstreams running them, and [`DuplicateGate`] bounds the duplicates in
+//! progress of a request that is not known to have been answered. [`BackoffTable`] records the
+//! upstreams that asked for a backoff, and [`LimitTable`] those that accept only a given rate;
+//! [`PermitIssuer`] and [`PermitHolder`] divide that rate among the daemons. [`ConfigFreshness`]
+//! decides whether a caller may be told that something does not exist.
 //!
-//! Invariants: a request whose deadline has passed is never let through; a not
-//! repeatable request is never tried twice; retries never exceed their budget.
+//! Invariants: a request whose deadline has passed is never admitted; a request that is not
+//! repeatable is never run twice; retries never exceed their budget.
 
 mod adaptive;
 mod admission;
--- a/crates/routing/src/limit_coordinator.rs
+++ b/crates/routing/src/limit_coordinator.rs
@@ -1,9 +1,10 @@
-//! What the leader does of upstreams that name limits.
+//! The leader's part in the rate limits of upstreams.
 //!
-//! It puts together what daemons heard, tells all of them, and issues permits.
+//! The leader combines the limits that daemons report, publishes them to all daemons and issues
+//! permits.
 //!
-//! Invariant: a leader begins with nothing to issue, since the one before it may just have issued
-//! what the limits allow.
+//! Invariant: a new leader starts with nothing to issue, since its predecessor may just have issued
+//! all that the limits allow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,28 +18,28 @@
 use crate::limits::{from_message, to_message};
 use crate::permits::{IssuedPermits, PermitIssuer};
 
-/// Time for which daemons are told that an upstream names no limit any more.
+/// Time for which the leader keeps publishing that an upstream no longer states a limit.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
-/// Pause between two times that all daemons are told of limits, unless one has changed. Daemons keep
-/// what they were told for three times as long.
+/// Interval at which limits are published to all daemons, unless one has changed. Daemons keep a
+/// published limit for three times as long.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Limits of upstreams as all daemons heard them, and what is issued.
+/// Limits of upstreams as reported by all daemons, and the issuer of permits.
 #[derive(Clone, Debug, Default)]
 pub struct LimitCoordinator {
     term: Term,
     notices: LimitTable<String>,
     issuer: PermitIssuer,
-    /// When all daemons were last told of limits; none where one has changed since.
+    /// When limits were last published to all daemons; `None` if one has changed since.
     published: Option<Instant>,
 }
 
-/// What follows from what a daemon told.
+/// The effects of a message from a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AskOutcome {
-    /// Upstreams whose limit is another one now.
+    /// Upstreams whose limit has changed.
     pub changed: Vec<(String, Option<RequestRate>)>,
-    /// What to send to whom, an answer to the daemon that told among it.
+    /// The messages to send to each daemon, including the answer to the sender.
     pub grants: BTreeMap<DaemonId, PermitGrant>,
 }
 
@@ -48,14 +49,14 @@
         Self::default()
     }
 
-    /// Begins anew where the term is another one than before.
+    /// Enters a term, and discards all state if the term is a new one.
     pub fn enter(&mut self, term: Term) {
         if self.term != term {
             *self = Self { term, ..Self::default() };
         }
     }
 
-    /// Takes in what a daemon tells.
+    /// Handles a message in which a daemon reports limits and asks for permits.
     pub fn handle_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Instant) -> AskOutcome {
         let mut changed = Vec::new();
         for reported in &ask.limits {
@@ -81,7 +82,7 @@
         AskOutcome { changed, grants }
     }
 
-    /// What is known of the upstreams that a daemon tells of or asks for.
+    /// Returns the known limits of the upstreams that a daemon's message names.
     fn known_limits(&self, ask: &PermitAsk, now: Instant) -> Vec<UpstreamLimit> {
         let reported = ask.limits.iter().map(|limit| limit.upstream.as_str());
         let needed = ask.needs.iter().map(|need| need.upstream.as_str());
@@ -90,7 +91,7 @@
         known.map(|(name, notice)| to_message(name, notice, now)).collect()
     }
 
-    /// Issues what can be issued now; what to send to whom.
+    /// Issues the permits that are available now; returns the messages to send to each daemon.
     pub fn issue(&mut self, now: Instant) -> BTreeMap<DaemonId, PermitGrant> {
         let mut grants: BTreeMap<DaemonId, PermitGrant> = BTreeMap::new();
         for IssuedPermits { daemon, upstream, count } in self.issuer.issue(now) {
@@ -100,7 +101,8 @@
         grants
     }
 
-    /// What all daemons are to be told of limits now; nothing where that was told a moment ago.
+    /// Returns the limits that are due to be published now; empty if they were published within the
+    /// interval.
     pub fn due_limits(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let recent = |at: Instant| now.saturating_duration_since(at) < PUBLISH_INTERVAL;
         if self.published.is_some_and(recent) {
@@ -110,7 +112,7 @@
         self.published_limits(now)
     }
 
-    /// What daemons are told of limits.
+    /// Returns the limits to publish to daemons.
     pub fn published_limits(&self, now: Instant) -> Vec<UpstreamLimit> {
         let age = |at: Instant| now.saturating_duration_since(at);
         let notices = self.notices.notices();
@@ -120,7 +122,7 @@
         current.map(|(upstream, notice)| to_message(upstream, notice, now)).collect()
     }
 
-    /// Forgets upstreams that are not known any more.
+    /// Removes upstreams that are no longer known.
     pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
         self.notices.prune(|upstream| known(upstream));
         self.issuer.prune(|upstream| known(upstream));
--- a/crates/routing/src/limit_table.rs
+++ b/crates/routing/src/limit_table.rs
@@ -1,11 +1,11 @@
-//! The limits that upstreams have named, each by its newest word.
+//! The limits that upstreams have stated, each by its newest notice.
 //!
-//! An upstream that is in need names the requests a second that it takes from all daemons
-//! together, in each of its answers for as long as it holds. Answers may come in another order
-//! than they were written in: what is known of a word is that it was written after its request was
-//! sent and before the head of its answer came.
+//! An upstream under load states, in each of its answers for as long as the limit applies, the
+//! requests a second that it accepts from all daemons together. Answers may arrive in another order
+//! than they were written in. All that is known of a notice is that it was written after its
+//! request was sent and before the head of its answer was received.
 //!
-//! Invariant: where two words may have been written in either order, the stricter one holds.
+//! Invariant: if either of two notices may have been written first, the stricter one applies.
 
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -14,36 +14,36 @@
 use hollowbarrow_schema::RequestRate;
 use tokio::time::Instant;
 
-/// The time within which an upstream wrote a word.
+/// The interval within which an upstream wrote a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoticeInterval {
-    /// When the request was sent that the word answers.
+    /// When the request was sent whose answer carries the notice.
     pub sent: Instant,
-    /// When the head of the answer came.
+    /// When the head of the answer was received.
     pub came: Instant,
 }
 
-/// A limit as it stands in logs: thousandths of a request a second, or `none`.
+/// Formats a limit for logs: thousandths of a request a second, or `none`.
 pub fn limit_text(limit: Option<RequestRate>) -> String {
     limit.map_or_else(|| "none".to_owned(), |rate| rate.to_string())
 }
 
-/// What an upstream said of its limit.
+/// The limit that an upstream stated in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitNotice {
-    /// Requests that it takes from all daemons together; none where it names no limit.
+    /// Requests that the upstream accepts from all daemons together; `None` if it states no limit.
     pub limit: Option<RequestRate>,
-    /// When it was written.
+    /// When the notice was written.
     pub span: NoticeInterval,
 }
 
 impl LimitNotice {
-    /// Whether this word was surely written after another.
+    /// Returns whether this notice was certainly written after another.
     pub fn is_after(&self, other: &Self) -> bool {
         self.span.sent >= other.span.came
     }
 
-    /// Whether this word allows less than another.
+    /// Returns whether this notice allows less than another.
     fn is_stricter(&self, other: &Self) -> bool {
         match (self.limit, other.limit) {
             (Some(this), Some(other)) => this < other,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Which of two words holds; the same word told later keeps the later span.
+    /// Returns whether this notice replaces the current one. A notice that repeats the current
+    /// limit and was received later replaces it, to keep the later interval.
     fn supersedes(&self, current: &Self) -> bool {
         if current.is_after(self) {
             return false;
@@ -61,7 +62,7 @@
     }
 }
 
-/// The newest word of each upstream that has named a limit.
+/// The newest notice of each upstream that has stated a limit.
 #[derive(Clone, Debug)]
 pub struct LimitTable<K> {
     notices: HashMap<K, LimitNotice>,
@@ -74,12 +75,12 @@
 }
 
 impl<K: Clone + Eq + Hash> LimitTable<K> {
-    /// Creates a table that knows of no limit.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a word in; true where the limit of the upstream is another one now.
+    /// Records a notice; returns whether the limit of the upstream has changed.
     pub fn record(&mut self, upstream: &K, notice: LimitNotice) -> bool {
         let current = self.notices.get(upstream);
         if current.map_or(notice.limit.is_none(), |current| !notice.supersedes(current)) {
@@ -89,12 +90,12 @@
         former.and_then(|former| former.limit) != notice.limit
     }
 
-    /// The limit of an upstream, if it has one now.
+    /// Returns the limit of an upstream, if it has one now.
     pub fn limit(&self, upstream: &K) -> Option<RequestRate> {
         self.notices.get(upstream)?.limit
     }
 
-    /// The newest word of an upstream, if it has ever named a limit.
+    /// Returns the newest notice of an upstream, if it has ever stated a limit.
     pub fn notice<Q>(&self, upstream: &Q) -> Option<&LimitNotice>
     where
         K: Borrow<Q>,
@@ -103,22 +104,22 @@
         self.notices.get(upstream)
     }
 
-    /// The newest words of all upstreams that have ever named a limit.
+    /// Returns the newest notices of all upstreams that have ever stated a limit.
     pub fn notices(&self) -> impl Iterator<Item = (&K, &LimitNotice)> {
         self.notices.iter()
     }
 
-    /// Forgets upstreams that are not known any more.
+    /// Removes upstreams that are no longer known.
     pub fn prune(&mut self, known: impl Fn(&K) -> bool) {
         self.notices.retain(|upstream, _| known(upstream));
     }
 
-    /// Number of upstreams kept.
+    /// Returns the number of upstreams in the table.
     pub fn len(&self) -> usize {
         self.notices.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.notices.is_empty()
     }
--- a/crates/routing/src/limiter.rs
+++ b/crates/routing/src/limiter.rs
@@ -1,11 +1,10 @@
-//! Limits of organisations over all entry nodes.
+//! Enforces the limits of organisations over all entry nodes.
 //!
-//! Each daemon lets through its share of an organisation's rate. The share
-//! follows demand: daemons tell each other what each organisation lately asked
-//! of them, and a daemon's share is its part of the sum, with a small floor so
-//! that a first request is never refused for lack of history. A daemon that
-//! hears from no one falls back to an even share. So the sum over daemons is
-//! the limit, but for what changes within one exchange of digests.
+//! Each daemon admits its share of an organisation's rate. The share follows demand: daemons send
+//! each other the recent demand of each organisation, and a daemon's share is its part of the sum.
+//! A small minimum share ensures that a first request is never refused for lack of history. A
+//! daemon that receives no reports falls back to an even share. The admitted sum over all daemons
+//! is therefore the limit, except for changes within one exchange of summaries.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -15,22 +14,22 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// How many seconds of its rate an organisation may use at once.
+/// Seconds of its rate that an organisation may use at once.
 const BURST_SECONDS: f64 = 2.0;
 /// Time over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
-/// How long another daemon's word on demand counts.
+/// Time for which a demand report of another daemon is valid.
 const DEMAND_LIFETIME: Duration = Duration::from_secs(5);
-/// Part of the rate that a daemon without demand keeps, over the number of daemons.
+/// Part of the rate that daemons keep without demand, divided evenly among them.
 const FLOOR_SHARE: f64 = 0.2;
 
-/// Why a request was refused before it was let in.
+/// Reason for which a request was refused before it was admitted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LimitRequestError {
     /// The organisation has used its rate.
-    #[error("the organisation's rate is used up; come back in {} ms", retry_after.as_millis())]
+    #[error("the organisation's request rate is exhausted; retry after {} ms", retry_after.as_millis())]
     RateUsed {
-        /// When the request would fit.
+        /// Time after which the rate admits the request.
         retry_after: Duration,
     },
     /// The organisation has too many requests in flight.
@@ -39,7 +38,7 @@
         /// This daemon's share of the limit.
         limit: u32,
     },
-    /// Nothing of the sort is configured.
+    /// The organisation is not configured.
     #[error("the organisation is not known")]
     Unknown,
 }
@@ -56,7 +55,7 @@
     others: BTreeMap<String, OtherDemand>,
 }
 
-/// What one daemon, or the daemons of one zone together, lately asked for.
+/// Recent demand at one daemon, or at the daemons of one zone together.
 #[derive(Clone, Debug)]
 struct OtherDemand {
     zone: ZoneId,
@@ -71,14 +70,14 @@
     }
 }
 
-/// Holds organisations to their limits.
+/// Enforces the limits of organisations.
 #[derive(Debug, Clone)]
 pub struct OrganisationLimiter {
     buckets: Arc<Mutex<HashMap<OrganisationId, OrganisationBucket>>>,
     daemons: u32,
 }
 
-/// A request in flight; dropping it gives its place back.
+/// A request in flight; dropping it frees its slot.
 #[derive(Debug)]
 pub struct LimitTicket {
     limiter: OrganisationLimiter,
@@ -99,7 +98,8 @@
         Self { buckets: Arc::default(), daemons: daemons.max(1) }
     }
 
-    /// Adds an organisation with its rate in cost units a second and its requests at once.
+    /// Adds an organisation with its rate in cost units a second and its maximum of concurrent
+    /// requests.
     pub fn with_organisation(
         self,
         id: &OrganisationId,
@@ -130,11 +130,11 @@
         buckets.get_mut(id).map(action)
     }
 
-    /// Lets a request of a cost in or refuses it.
+    /// Admits or refuses a request of the given cost.
     ///
     /// # Errors
     ///
-    /// Says which limit stands against it and, for the rate, when to come back.
+    /// Returns the limit that the request exceeds and, for the rate, the time after which to retry.
     pub fn admit(
         &self,
         id: &OrganisationId,
@@ -147,7 +147,7 @@
         Ok(LimitTicket { limiter: self.clone(), organisation: id.clone() })
     }
 
-    /// Demand of each organisation at this daemon, for other daemons.
+    /// Returns the demand of each organisation at this daemon, to be sent to other daemons.
     pub fn demand(&self, now: Instant) -> Vec<OrganisationUse> {
         let buckets = self.buckets.lock().expect("no holder of the lock panics");
         buckets
@@ -158,9 +158,9 @@
             .collect()
     }
 
-    /// Demand of each organisation in a zone, this daemon's and that of those that told it
-    /// theirs, but for one daemon; and how many daemons that is. For daemons that are told by
-    /// zones.
+    /// Returns the demand of each organisation in a zone, and the number of daemons that it covers.
+    /// It sums the demand at this daemon and the fresh reports of single daemons of the zone,
+    /// except those of one daemon. It is sent to daemons that receive demand by zones.
     pub fn zone_demand(
         &self,
         zone: &ZoneId,
@@ -188,7 +188,7 @@
         (daemons, uses)
     }
 
-    /// Takes the word of another daemon, or of one for its whole zone, on demand.
+    /// Records the demand that another daemon reports for itself or for its whole zone.
     pub fn record_demand(
         &self,
         sender: &str,
@@ -201,7 +201,7 @@
         for (id, bucket) in buckets.iter_mut() {
             let demand = uses.iter().find(|entry| entry.o == *id).map_or(0.0, |entry| entry.r);
             if daemons > 1 {
-                // What single daemons of the zone said is part of the sum.
+                // The sum of the zone includes what its daemons reported singly.
                 bucket.others.retain(|_, other| other.zone != *zone || other.daemons > 1);
             }
             let other = OtherDemand { zone: zone.clone(), daemons, demand, at: now };
@@ -216,13 +216,13 @@
         self.demand * (-elapsed / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
-    /// This daemon's part of the organisation's limits, from 0 to 1.
+    /// Returns this daemon's share of the organisation's limits, from 0 to 1.
     fn share(&self, daemons: f64, now: Instant) -> f64 {
         let fresh: Vec<&OtherDemand> =
             self.others.values().filter(|other| other.is_fresh(now)).collect();
         let reporting: u32 = fresh.iter().map(|other| other.daemons).sum();
         let even = 1.0 / daemons;
-        // Daemons that are not heard of may be using their even part.
+        // Daemons without a fresh report may be using their even share.
         let unreported = (daemons - 1.0 - f64::from(reporting)).max(0.0) * even;
         let local = self.decayed_demand(now);
         let total = local + fresh.iter().map(|other| other.demand).sum::<f64>();
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,9 +1,10 @@
-//! What one daemon knows and does of upstreams that name limits.
+//! Rate limits of upstreams as one daemon knows them, and its permits to send to these upstreams.
 //!
-//! It hears limits in answers to its own requests, and from the leader, who has them from all
-//! daemons. Its own word counts unless the leader's is surely newer.
+//! A daemon learns limits from the answers to its own requests and from the leader, which collects
+//! them from all daemons. The daemon's own notice takes precedence unless the leader's is certainly
+//! newer.
 //!
-//! Invariant: a request goes to an upstream with a limit only with a permit.
+//! Invariant: a request is sent to an upstream with a limit only with a permit.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -14,14 +15,16 @@
 use crate::limit_table::{LimitNotice, LimitTable, NoticeInterval};
 use crate::permits::{Permit, PermitHolder};
 
-/// Time by which a word that another daemon told may be older than it seems.
+/// Time by which a notice from another daemon may be older than its stated age, for the delivery of
+/// the message.
 const MAX_DELIVERY_TIME: Duration = Duration::from_millis(200);
-/// Time for which a word is kept that the leader tells no more: a new one hears of it meanwhile.
+/// Time for which a published notice is kept after the leader stops publishing it. A new leader
+/// learns the limit within this time.
 const PUBLISHED_RETENTION: Duration = Duration::from_secs(3);
-/// Pause between two messages to the leader about a limit that it does not seem to know.
+/// Pause between two reports to the leader about a limit that it does not seem to know.
 const REPORT_PAUSE: Duration = Duration::from_millis(250);
 
-/// A word as it is told to another daemon.
+/// Converts a notice to the message that is sent to another daemon.
 pub(crate) fn to_message(upstream: &str, notice: &LimitNotice, now: Instant) -> UpstreamLimit {
     let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u32;
     UpstreamLimit {
@@ -32,7 +35,8 @@
     }
 }
 
-/// A word that another daemon told; what it took to come here makes it seem newer than it is.
+/// Converts a message from another daemon to a notice. The time that the message took to arrive
+/// makes the notice seem newer than it is, so the start of its interval is moved back.
 pub(crate) fn from_message(message: &UpstreamLimit, now: Instant) -> LimitNotice {
     let before = |ms: u32| now.checked_sub(Duration::from_millis(ms.into())).unwrap_or(now);
     let came = before(message.came_ms);
@@ -41,29 +45,29 @@
     LimitNotice { limit: message.limit, span: NoticeInterval { sent, came } }
 }
 
-/// A word of the leader.
+/// A notice that the leader published.
 #[derive(Clone, Copy, Debug)]
 struct PublishedNotice {
     notice: LimitNotice,
-    /// When the leader last told it.
+    /// When the leader last published the notice.
     received: Instant,
 }
 
-/// Limits of upstreams, and permits to send to them.
+/// Limits of upstreams, and the permits to send to them.
 #[derive(Clone, Debug)]
 pub struct UpstreamLimits {
     local: LimitTable<String>,
     published: HashMap<String, PublishedNotice>,
     holder: PermitHolder,
-    /// When the leader was last told of a limit.
+    /// When each limit was last reported to the leader.
     reported: HashMap<String, Instant>,
-    /// Requests that wait for a permit.
+    /// Number of requests that wait for a permit.
     waiting_requests: usize,
 }
 
 impl UpstreamLimits {
-    /// Creates the limits of a daemon that has heard of none; the seed is for times at which
-    /// nobody issues permits.
+    /// Creates the limits of a daemon that knows of none. The seed is for permits that the daemon
+    /// issues to itself when no leader issues any.
     pub fn new(seed: u64) -> Self {
         Self {
             local: LimitTable::new(),
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Requests a second that an upstream takes, if it has named a limit.
+    /// Returns the request rate that an upstream accepts, if it has stated a limit.
     pub fn limit(&self, upstream: &str) -> Option<RequestRate> {
         self.newest(upstream)?.limit
     }
@@ -89,14 +93,15 @@
         }
     }
 
-    /// Notes what the head of an answer said; true where the limit is another one now.
+    /// Records the notice in the head of an answer; returns whether the limit has changed.
     pub fn record_notice(&mut self, upstream: &str, notice: LimitNotice) -> bool {
         let former = self.limit(upstream);
         let name = upstream.to_owned();
         if self.local.notice(upstream).is_none()
             && let Some(published) = self.published.get(upstream)
         {
-            // What others heard is what this daemon's own word ends.
+            // The published notice must be in the local table for the new notice to be able to end
+            // its limit.
             self.local.record(&name, published.notice);
         }
         self.local.record(&name, notice);
@@ -106,7 +111,7 @@
         self.apply_change(upstream, former)
     }
 
-    /// Takes in what the leader tells of limits.
+    /// Records the limits that the leader publishes.
     pub fn record_published(&mut self, limits: &[UpstreamLimit], now: Instant) {
         for published in limits {
             let former = self.limit(&published.upstream);
@@ -121,7 +126,8 @@
         self.published.retain(|_, notice| kept(notice));
     }
 
-    /// Drops permits that a lower limit would not have allowed; true where the limit has changed.
+    /// Drops permits that a lowered limit would not have allowed; returns whether the limit has
+    /// changed.
     fn apply_change(&mut self, upstream: &str, former: Option<RequestRate>) -> bool {
         let limit = self.limit(upstream);
         let falls = match (former, limit) {
@@ -134,7 +140,8 @@
         limit != former
     }
 
-    /// Upstreams with a limit for which no permit is there, where so many daemons share them.
+    /// Returns the limited upstreams for which this daemon has no permit, if `daemons` daemons
+    /// share each limit.
     pub fn without_permit(&mut self, daemons: u32, now: Instant) -> HashSet<String> {
         let names: HashSet<&String> =
             self.local.notices().map(|(name, _)| name).chain(self.published.keys()).collect();
@@ -146,24 +153,26 @@
         limited.into_iter().filter(lacks).map(|(name, _)| name).collect()
     }
 
-    /// Takes a permit for a request; none where the upstream has no limit.
+    /// Takes a permit for a request; returns `None` if the upstream has no limit or no permit is
+    /// available.
     pub fn take(&mut self, upstream: &str, now: Instant) -> Option<Permit> {
         self.limit(upstream)?;
         self.holder.take(upstream, now)
     }
 
-    /// Gives a permit back that was taken for a request which did not go.
+    /// Returns a permit that was taken for a request which was not sent.
     pub fn give_back(&mut self, upstream: &str, permit: Permit) {
         self.holder.give_back(upstream, permit);
     }
 
-    /// Notes that a later request could use a permit, while this one goes elsewhere.
+    /// Records that a later request could use a permit, while the present one is sent to another
+    /// upstream.
     pub fn record_future_need(&mut self, upstream: &str, lifetime: Duration, now: Instant) {
         self.holder.record_need(upstream, lifetime, now);
     }
 
-    /// Notes that a request waits for a permit of one of several upstreams, or, if `again`, still
-    /// does; false where none can come in time.
+    /// Records that a request waits for a permit of one of several upstreams or, if `is_waiting`,
+    /// that it still does. Returns false if no permit can arrive in time.
     pub fn record_need_of_any(
         &mut self,
         upstreams: &[String],
@@ -180,30 +189,30 @@
         order.into_iter().any(|one| self.holder.record_need(one, lifetime, now))
     }
 
-    /// Shortest time after which one of several upstreams may have a permit.
+    /// Returns the shortest time after which one of several upstreams may have a permit.
     pub fn wait(&self, upstreams: &[String], now: Instant) -> Duration {
         let waits = upstreams.iter().map(|one| self.holder.wait(one, now));
         waits.min().unwrap_or_default()
     }
 
-    /// Notes that a request begins to wait for a permit.
+    /// Records that a request starts to wait for a permit.
     pub fn begin_wait(&mut self) {
         self.waiting_requests += 1;
     }
 
-    /// Notes that a request waits no more.
+    /// Records that a request stops waiting for a permit.
     pub fn end_wait(&mut self) {
         self.waiting_requests = self.waiting_requests.saturating_sub(1);
     }
 
-    /// What to tell the leader now, if there is anything.
+    /// Returns the message that is due to the leader now, if any.
     pub fn due(&mut self, now: Instant) -> Option<PermitAsk> {
         let limits = self.due_notices(now);
         let needs: Vec<PermitNeed> = self.holder.due(now);
         (!limits.is_empty() || !needs.is_empty()).then_some(PermitAsk { limits, needs })
     }
 
-    /// Limits that the leader does not seem to know.
+    /// Returns limits that the leader does not seem to know.
     fn due_notices(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let mut due = Vec::new();
         for (name, local) in self.local.notices() {
@@ -219,7 +228,7 @@
         due
     }
 
-    /// Takes in the permits that were issued.
+    /// Records the permits that the leader issued.
     pub fn record_grant(&mut self, grant: &PermitGrant, now: Instant) {
         self.record_published(&grant.limits, now);
         for terms in &grant.terms {
@@ -231,7 +240,7 @@
         }
     }
 
-    /// Forgets upstreams that are not known any more.
+    /// Removes upstreams that are no longer known.
     pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
         self.local.prune(|name| known(name.as_str()));
         self.reported.retain(|name, _| known(name));
--- a/crates/routing/src/permits/holder.rs
+++ b/crates/routing/src/permits/holder.rs
@@ -1,4 +1,4 @@
-//! Holds the permits that one daemon was issued.
+//! The permits that were issued to one daemon.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,43 +10,45 @@
 
 use super::{PERMIT_LIFETIME, permits_per_s};
 
-/// Shortest pause between two messages about one upstream.
+/// Minimum pause between two messages about one upstream.
 const NEED_PAUSE: Duration = Duration::from_millis(10);
 /// Pause between two messages that only return permits.
 const RETURN_PAUSE: Duration = Duration::from_millis(50);
-/// Most needs that are noted at once.
+/// Maximum number of needs recorded for one upstream.
 const MAX_NEEDS: usize = 32;
-/// Silence of the issuer after an ask from which on a daemon permits itself requests.
+/// Time without an answer to a message after which the issuer is taken to be absent, and a daemon
+/// issues permits to itself.
 const ISSUER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Part of a limit that all daemons together permit themselves where nobody issues permits. With
-/// what an issuer that others still reach gives out meanwhile, it stays within what limits bear.
+/// Share of a limit that all daemons together issue to themselves if no daemon issues permits.
+/// Together with the permits of an issuer that other daemons still reach, it stays within the
+/// tolerance of the limits.
 const SELF_ISSUED_SHARE: f64 = 0.4;
 
 /// Permission for one request to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// When it runs out.
+    /// When the permit expires.
     expires_at: Instant,
-    /// Whether the issuer gave it, so that it can be returned.
+    /// Whether the issuer issued the permit, so that it can be returned.
     issued: bool,
 }
 
-/// What is held for one upstream.
+/// Permits and needs for one upstream.
 #[derive(Clone, Debug, Default)]
 struct UpstreamPermits {
-    /// The one that runs out next comes first.
+    /// Permits in order of expiry, the earliest first.
     permits: VecDeque<Permit>,
-    /// When each need that is not fulfilled ends.
+    /// Expiry time of each need that is not fulfilled.
     needs: Vec<Instant>,
-    /// Whether the issuer does not know the newest of them.
+    /// Whether the newest need has not been sent to the issuer.
     unsent: bool,
-    /// Permits that ran out and were not returned yet.
+    /// Number of permits that expired and have not been returned yet.
     returned: u32,
-    /// When the issuer was last told.
+    /// When a message about this upstream was last sent to the issuer.
     last_sent: Option<Instant>,
-    /// When the issuer said that it can issue the next permit.
+    /// When the issuer expects to be able to issue the next permit.
     next_issue: Option<Instant>,
-    /// When this daemon permits itself the next request.
+    /// When this daemon issues itself the next permit.
     next_self_issue: Option<Instant>,
 }
 
@@ -72,7 +74,8 @@
         self.permits.insert(position, permit);
     }
 
-    /// Takes permits in, each for the need that ends first; those that come too late are returned.
+    /// Adds issued permits, each for the need that expires first. Permits without a need have
+    /// arrived too late and are returned.
     fn fulfil(&mut self, count: u32) {
         self.needs.sort();
         for _ in 0..count {
@@ -86,7 +89,7 @@
     }
 }
 
-/// The permits of one daemon for upstreams that have named limits.
+/// The permits of one daemon for upstreams that have stated limits.
 #[derive(Clone, Debug)]
 pub struct PermitHolder {
     upstreams: HashMap<String, UpstreamPermits>,
@@ -96,13 +99,14 @@
 }
 
 impl PermitHolder {
-    /// Creates a holder without permits; the seed is for times at which nobody issues permits.
+    /// Creates a holder without permits. The seed is for permits that the daemon issues to itself.
     pub fn new(seed: u64) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Self { upstreams: HashMap::new(), unanswered_since: None, rng }
     }
 
-    /// Whether a permit is there for an upstream with this limit, which so many daemons share.
+    /// Returns whether a permit is available for an upstream with this limit, which `daemons`
+    /// daemons share.
     pub fn has_permit(
         &mut self,
         upstream: &str,
@@ -122,28 +126,28 @@
         !entry.permits.is_empty()
     }
 
-    /// Needs that are not fulfilled yet.
+    /// Returns the number of needs that are not fulfilled yet.
     pub fn count_needs(&self, upstream: &str, now: Instant) -> usize {
         let needs = self.upstreams.get(upstream).map(|entry| entry.needs.as_slice());
         needs.unwrap_or_default().iter().filter(|expires_at| now < **expires_at).count()
     }
 
-    /// Takes a permit for a request, if there is one.
+    /// Takes a permit for a request, if one is available.
     pub fn take(&mut self, upstream: &str, now: Instant) -> Option<Permit> {
         let entry = self.upstreams.get_mut(upstream)?;
         entry.expire(now);
         entry.permits.pop_front()
     }
 
-    /// Gives a permit back that was taken for a request which did not go.
+    /// Returns a permit that was taken for a request which was not sent.
     pub fn give_back(&mut self, upstream: &str, permit: Permit) {
         if let Some(entry) = self.upstreams.get_mut(upstream) {
             entry.add(permit);
         }
     }
 
-    /// Notes that a request could use a permit for some time, unless the issuer has said that none
-    /// can come meanwhile; true where it may come.
+    /// Records that a request could use a permit for the given time, unless the issuer has stated
+    /// that none can be issued within it; returns whether a permit may arrive.
     pub fn record_need(&mut self, upstream: &str, lifetime: Duration, now: Instant) -> bool {
         let entry = self.upstreams.entry(upstream.to_owned()).or_default();
         if entry.next_issue.is_some_and(|next_issue| next_issue > now + lifetime) {
@@ -156,7 +160,7 @@
         true
     }
 
-    /// What to tell the issuer now.
+    /// Returns the needs and returned permits that are due to the issuer now.
     pub fn due(&mut self, now: Instant) -> Vec<PermitNeed> {
         let mut needs = Vec::new();
         for (upstream, entry) in &mut self.upstreams {
@@ -180,7 +184,7 @@
         needs
     }
 
-    /// Takes permits in.
+    /// Records permits that were issued.
     pub fn record_issued(&mut self, upstream: &str, count: u32, now: Instant) {
         self.unanswered_since = None;
         let entry = self.upstreams.entry(upstream.to_owned()).or_default();
@@ -188,8 +192,8 @@
         entry.fulfil(count);
     }
 
-    /// Takes in after what time the issuer expects to issue one more; drops the needs that end
-    /// before.
+    /// Records the time after which the issuer expects to issue the next permit, and drops the
+    /// needs that expire before.
     pub fn record_wait(&mut self, upstream: &str, wait: Duration, now: Instant) {
         self.unanswered_since = None;
         if let Some(entry) = self.upstreams.get_mut(upstream) {
@@ -198,26 +202,27 @@
         }
     }
 
-    /// Keeps one permit at most for an upstream whose limit has fallen.
+    /// Keeps at most one permit for an upstream whose limit has decreased.
     pub fn record_limit_decrease(&mut self, upstream: &str) {
         if let Some(entry) = self.upstreams.get_mut(upstream) {
             entry.permits.truncate(1);
         }
     }
 
-    /// Time after which the issuer expects to issue a permit; zero where that is not known.
+    /// Returns the time after which the issuer expects to issue a permit; zero if that is not
+    /// known.
     pub fn wait(&self, upstream: &str, now: Instant) -> Duration {
         let next_issue = self.upstreams.get(upstream).and_then(|entry| entry.next_issue);
         next_issue.map_or(Duration::ZERO, |next_issue| next_issue.saturating_duration_since(now))
     }
 
-    /// Whether nobody issues permits: the issuer does not answer.
+    /// Returns whether the issuer has not answered for so long that it is taken to be absent.
     fn is_issuer_silent(&self, now: Instant) -> bool {
         let silence = self.unanswered_since.map(|since| now.saturating_duration_since(since));
         silence.is_some_and(|silence| silence >= ISSUER_TIMEOUT)
     }
 
-    /// Forgets upstreams without a limit.
+    /// Removes upstreams without a limit.
     pub fn prune(&mut self, limited: impl Fn(&str) -> bool) {
         self.upstreams.retain(|upstream, _| limited(upstream));
         if self.upstreams.is_empty() {
@@ -226,8 +231,8 @@
     }
 }
 
-/// Permits a request by itself at times drawn at random, a few a second over all daemons. A time
-/// that passes unused is lost, so that daemons do not save up permits.
+/// Issues a permit to this daemon at times drawn at random, a few a second over all daemons. A
+/// permit that is not used in time is lost, so that daemons do not save up permits.
 fn issue_to_self(entry: &mut UpstreamPermits, per_s: f64, rng: &mut ChaCha8Rng, now: Instant) {
     let mut draw = || Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / per_s);
     let next_issue = *entry.next_self_issue.get_or_insert_with(|| now + draw());
--- a/crates/routing/src/permits/issuer.rs
+++ b/crates/routing/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! Issues permits as the leader.
+//! Issues permits on the leader.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 /// Seconds of a limit that may be issued at once.
 const BURST_SECONDS: f64 = 0.25;
-/// Permits that may be issued at once where that is less.
+/// Minimum for the number of permits that may be issued at once.
 const MIN_BURST: f64 = 2.0;
 /// Time for a permit to reach the daemon that it is issued to.
 const DELIVERY_TIME: Duration = Duration::from_millis(10);
@@ -18,11 +18,11 @@
 /// Permits that are issued to a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IssuedPermits {
-    /// Who gets them.
+    /// The daemon that receives the permits.
     pub daemon: DaemonId,
-    /// The upstream that they are for.
+    /// The upstream that the permits are for.
     pub upstream: String,
-    /// How many they are.
+    /// Number of permits.
     pub count: u32,
 }
 
@@ -31,22 +31,22 @@
 struct PendingNeed {
     daemon: DaemonId,
     count: u32,
-    /// Until when they are of use.
+    /// When the permits stop being of use.
     expires_at: Instant,
 }
 
-/// What is issued for one upstream.
+/// The permits of one upstream.
 #[derive(Clone, Debug)]
 struct LimitBucket {
     per_s: f64,
     tokens: f64,
     filled: Instant,
-    /// The newest of each daemon, the one that ends first in front.
+    /// The newest need of each daemon, in order of expiry.
     needs: Vec<PendingNeed>,
 }
 
 impl LimitBucket {
-    /// Creates an empty bucket: a former issuer may just have issued what the limit allows.
+    /// Creates an empty bucket: the previous issuer may just have issued what the limit allows.
     fn new(per_s: f64, now: Instant) -> Self {
         Self { per_s, tokens: 0.0, filled: now, needs: Vec::new() }
     }
@@ -68,19 +68,19 @@
         self.add(0.0);
     }
 
-    /// Takes the newest need of a daemon in.
+    /// Records a daemon's need in place of its previous one.
     fn need(&mut self, need: PendingNeed) {
         self.needs.retain(|former| former.daemon != need.daemon);
         let position = self.needs.partition_point(|other| other.expires_at <= need.expires_at);
         self.needs.insert(position, need);
     }
 
-    /// Drops needs for which a permit would come too late.
+    /// Drops needs for which a permit would arrive too late.
     fn drop_expired(&mut self, now: Instant) {
         self.needs.retain(|need| need.count > 0 && now + DELIVERY_TIME < need.expires_at);
     }
 
-    /// The daemon that gets the next permit: the one whose need ends first.
+    /// Takes the next permit for the daemon whose need expires first.
     fn issue_one(&mut self) -> Option<DaemonId> {
         let need = self.needs.first_mut().filter(|_| self.tokens >= 1.0)?;
         self.tokens -= 1.0;
@@ -91,13 +91,13 @@
         Some(self.needs.remove(0).daemon)
     }
 
-    /// Time after which the next permit can be issued.
+    /// Returns the time after which the next permit can be issued.
     fn wait(&self) -> Duration {
         Duration::from_secs_f64((1.0 - self.tokens).max(0.0) / self.per_s)
     }
 }
 
-/// Issues permits for upstreams that have named limits.
+/// Issues permits for upstreams that have stated limits.
 #[derive(Clone, Debug, Default)]
 pub struct PermitIssuer {
     buckets: HashMap<String, LimitBucket>,
@@ -109,7 +109,7 @@
         Self::default()
     }
 
-    /// Sets the limit of an upstream; without one, nothing is issued for it.
+    /// Sets the limit of an upstream; without a limit, nothing is issued for it.
     pub fn set_limit(&mut self, upstream: &str, limit: Option<RequestRate>, now: Instant) {
         let Some(limit) = limit else {
             self.buckets.remove(upstream);
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Takes in what a daemon needs now, in place of what it needed before, and what it
-    /// returns unused.
+    /// Records the permits that a daemon needs now, in place of its previous need, and those that
+    /// it returns unused.
     pub fn record_need(&mut self, daemon: &DaemonId, need: &PermitNeed, now: Instant) {
         let Some(bucket) = self.buckets.get_mut(&need.upstream) else { return };
         bucket.fill(now);
@@ -138,7 +138,7 @@
         });
     }
 
-    /// Issues what can be issued now.
+    /// Issues the permits that are available now.
     pub fn issue(&mut self, now: Instant) -> Vec<IssuedPermits> {
         let mut issued: Vec<IssuedPermits> = Vec::new();
         for (upstream, bucket) in &mut self.buckets {
@@ -157,12 +157,12 @@
         issued
     }
 
-    /// Time after which the next permit can be issued; none without a limit.
+    /// Returns the time after which the next permit can be issued; `None` without a limit.
     pub fn wait(&self, upstream: &str) -> Option<Duration> {
         self.buckets.get(upstream).map(LimitBucket::wait)
     }
 
-    /// Forgets upstreams that are not known any more.
+    /// Removes upstreams that are no longer known.
     pub fn prune(&mut self, known: impl Fn(&str) -> bool) {
         self.buckets.retain(|upstream, _| known(upstream));
     }
--- a/crates/routing/src/permits/mod.rs
+++ b/crates/routing/src/permits/mod.rs
@@ -1,21 +1,23 @@
-//! Keeps what all daemons together send to an upstream within the limit that it names.
+//! Keeps the requests of all daemons to an upstream within the limit that the upstream states.
 //!
-//! One daemon, the leader, issues permits: each is for one request to one upstream, and runs out
-//! after a short time. A daemon asks for permits when requests could use them, holds what it was
-//! issued ([`PermitHolder`]) and returns what ran out unused. The leader ([`PermitIssuer`]) issues
-//! as many as the limit allows, whoever asks, so that a limit is used up wherever callers are.
+//! One daemon, the leader, issues permits. Each permit allows one request to one upstream and
+//! expires after a short time. A daemon asks for permits when requests could use them, keeps what
+//! it was issued ([`PermitHolder`]) and returns permits that expired unused. The leader
+//! ([`PermitIssuer`]) issues as many permits as the limit allows to whichever daemon asks, so that
+//! a limit is used up wherever callers are.
 //!
-//! Load pattern: requests reach daemons unevenly, from all at one daemon to a request every few
-//! seconds at each of hundreds. Parts of the limit for each daemon would leave most of it unused,
-//! or let each daemon that has waited long enough send one at the same moment. Where each daemon
-//! gets few requests, only one that waits for its permit uses it: a need counts for no longer
-//! than its request waits.
+//! Load pattern: requests reach daemons unevenly, from all at one daemon to one every few seconds
+//! at each of hundreds. Fixed shares of the limit for each daemon would leave most of it unused, or
+//! let every daemon that has waited long enough send a request at the same moment. If each daemon
+//! receives few requests, only the request that waits for a permit uses it, so a need expires when
+//! its request stops waiting.
 //!
-//! Where nobody issues permits, a daemon permits itself a small part of the limit, at times drawn
-//! at random so that daemons do not send together.
+//! If no daemon issues permits, each daemon issues itself a small share of the limit, at times
+//! drawn at random so that daemons do not send at the same moment.
 //!
-//! Invariant: while one daemon issues permits, the requests of all daemons in any time are at most
-//! what the limit allows for that time and twice the lifetime of a permit, and the issuer's burst.
+//! Invariant: while one daemon issues permits, the requests of all daemons in any period are at
+//! most what the limit allows for that period plus twice the lifetime of a permit, plus the
+//! issuer's burst.
 
 mod holder;
 mod issuer;
@@ -27,20 +29,20 @@
 pub use holder::{Permit, PermitHolder};
 pub use issuer::{IssuedPermits, PermitIssuer};
 
-/// Longest time for which a permit may be used.
+/// Maximum time for which a permit may be used.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(500);
-/// Time for which a request waits for a permit: a few times what the issuer takes to answer.
+/// Time for which a request waits for a permit: a few times as long as the issuer takes to answer.
 pub const PERMIT_WAIT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pause between two looks at whether a permit is there: a daemon that permits itself a request is
-/// told nothing.
+/// Interval at which a waiting request checks for a permit. Polling is needed because a daemon that
+/// issues permits to itself receives no message about them.
 pub const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Longest pause between two messages to the issuer.
+/// Maximum pause between two messages to the issuer.
 pub const PERMIT_INTERVAL: Duration = Duration::from_millis(50);
-/// Lowest rate at which permits are issued, in requests a second: an upstream that gets no request
-/// cannot say that its limit has ended.
+/// Lowest rate at which permits are issued, in requests a second. An upstream that receives no
+/// request could not state that its limit has ended.
 const MIN_RATE: f64 = 0.1;
 
-/// Permits a second for a limit.
+/// Returns the permits a second that a limit allows.
 fn permits_per_s(limit: RequestRate) -> f64 {
     (*limit as f64 / 1000.0).max(MIN_RATE)
 }
--- a/crates/routing/src/picker.rs
+++ b/crates/routing/src/picker.rs
@@ -1,10 +1,10 @@
-//! Chooses the upstream for one request.
+//! Selects the upstream for one request.
 //!
-//! First a group is chosen by the weights of a model's versions and outside
-//! endpoints, then a replica: the one that holds the prompt's prefix if it is
-//! not loaded much above the average, else the less loaded of two drawn at
-//! random, in the own availability zone unless others are clearly less loaded.
-//! The cost of one choice grows with the candidates of one model only.
+//! First a pool is drawn by the weights of a model's versions and outside endpoints, then a replica
+//! of it. The replica that caches the prompt's prefix is preferred unless its load is well above
+//! the average. Otherwise the less loaded of two replicas drawn at random is selected, from the
+//! local availability zone unless replicas of other zones are clearly less loaded. The cost of one
+//! selection grows only with the number of candidates of one model.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,41 +15,42 @@
 use crate::adaptive::AdaptiveLimit;
 use crate::prefix::PrefixTable;
 
-/// Requests an upstream is given at first, before its limit has adapted.
+/// Limit of requests in flight at an upstream before it has adapted.
 const INITIAL_LIMIT: u32 = 64;
 
-/// Identity of an upstream: a replica under one epoch, an endpoint or a service's node.
+/// Identity of an upstream: a replica in one epoch, an endpoint, or the node of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamKey {
     /// Name of the head node or endpoint.
     pub name: String,
-    /// Epoch of the replica, 0 for others.
+    /// Epoch of the replica; 0 for other upstreams.
     pub epoch: Epoch,
 }
 
-/// One upstream that may take the request.
+/// An upstream that may serve the request.
 #[derive(Clone, Debug)]
 pub struct RouteCandidate {
-    /// Which upstream.
+    /// Identity of the upstream.
     pub key: UpstreamKey,
-    /// Group, endpoint or service that it belongs to; weights count between these.
+    /// Group, endpoint or service that the upstream belongs to. Weights apply between pools.
     pub pool: String,
-    /// Weight of that pool.
+    /// Weight of the pool.
     pub weight: u32,
-    /// Its availability zone, none for outside endpoints.
+    /// Availability zone of the upstream; `None` for outside endpoints.
     pub zone: Option<ZoneId>,
-    /// Load that it last reported.
+    /// Load that the upstream last reported.
     pub reported: u32,
-    /// When it can first have reported that.
+    /// Earliest time at which the upstream can have measured that load.
     pub reported_at: Instant,
 }
 
-/// Margins of the choice.
+/// Thresholds of the selection.
 #[derive(Clone, Debug)]
 pub struct PickRules {
-    /// Requests by which another zone's upstream must be less loaded to be preferred.
+    /// Difference in load by which an upstream of another zone must be less loaded to be preferred.
     pub spill_margin: u32,
-    /// A prefix's holder is passed over when loaded above this many times the average, plus two.
+    /// The upstream that caches the prefix is skipped if its load exceeds this multiple of the
+    /// average plus two.
     pub affinity_bound: f64,
 }
 
@@ -59,12 +60,12 @@
     }
 }
 
-/// The outcome of a choice.
+/// Result of a selection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteChoice {
-    /// The chosen upstream.
+    /// The selected upstream.
     pub key: UpstreamKey,
-    /// Blocks of the prompt's prefix that it is believed to hold.
+    /// Number of blocks of the prompt's prefix that the upstream is expected to have cached.
     pub prefix_blocks: usize,
 }
 
@@ -87,7 +88,7 @@
     }
 }
 
-/// Chooses upstreams and keeps count of what this daemon has sent them.
+/// Selects upstreams and counts the requests that this daemon has sent to each.
 #[derive(Debug)]
 pub struct RoutePicker {
     zone: ZoneId,
@@ -97,7 +98,7 @@
 }
 
 impl RoutePicker {
-    /// Creates a picker for a daemon of an availability zone.
+    /// Creates a picker for a daemon in an availability zone.
     pub fn new(zone: &ZoneId, prefix_capacity: usize) -> Self {
         Self {
             zone: zone.clone(),
@@ -107,23 +108,24 @@
         }
     }
 
-    /// Sets the margins of the choice.
+    /// Sets the thresholds of the selection.
     pub fn with_rules(mut self, rules: PickRules) -> Self {
         self.rules = rules;
         self
     }
 
-    /// The table of prompt prefixes.
+    /// Returns the table of prompt prefixes.
     pub fn prefixes_mut(&mut self) -> &mut PrefixTable {
         &mut self.prefixes
     }
 
-    /// Requests that this daemon has in flight at an upstream.
+    /// Returns the number of requests that this daemon has in flight at an upstream.
     pub fn in_flight(&self, key: &UpstreamKey) -> u32 {
         self.tallies.get(key).map_or(0, |tally| tally.in_flight)
     }
 
-    /// Load of an upstream now: its last report, corrected by what was sent and ended since.
+    /// Estimates the current load of an upstream: its last report, corrected by the requests that
+    /// this daemon has started and finished since.
     pub fn estimated_load(&self, candidate: &RouteCandidate) -> u32 {
         let Some(tally) = self.tallies.get(&candidate.key) else { return candidate.reported };
         let since = |times: &VecDeque<Instant>| {
@@ -137,7 +139,7 @@
         self.tallies.get(&candidate.key).is_none_or(|tally| tally.in_flight < tally.limit.limit())
     }
 
-    /// Chooses one of the candidates, or none where none has room.
+    /// Selects one of the candidates, or returns `None` if none has capacity.
     pub fn pick(
         &self,
         candidates: &[RouteCandidate],
@@ -162,7 +164,7 @@
         Some(RouteChoice { key: chosen.0.key.clone(), prefix_blocks: 0 })
     }
 
-    /// Keeps the own zone's candidates unless another zone's are less loaded by the margin.
+    /// Keeps the candidates of the local zone unless another zone's are less loaded by the margin.
     fn prefer_local_zone<'a>(
         &self,
         members: Vec<(&'a RouteCandidate, u32)>,
@@ -193,7 +195,7 @@
             .then(|| RouteChoice { key: candidate.key.clone(), prefix_blocks })
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     pub fn record_start(&mut self, key: &UpstreamKey, blocks: &[u64], now: Instant) {
         let tally = self.tallies.entry(key.clone()).or_insert_with(UpstreamTally::new);
         tally.in_flight += 1;
@@ -201,7 +203,7 @@
         self.prefixes.learn(blocks, key);
     }
 
-    /// Notes that a request ended; `first_ms` is the time to its first byte, if one came.
+    /// Records that a request ended; `first_ms` is the time to its first byte, if one was received.
     pub fn record_end(&mut self, key: &UpstreamKey, first_ms: Option<f64>, now: Instant) {
         let Some(tally) = self.tallies.get_mut(key) else { return };
         if let Some(first_ms) = first_ms {
@@ -211,14 +213,14 @@
         tally.ended.push_back(now);
     }
 
-    /// Notes that an upstream refused a request for lack of room.
+    /// Records that an upstream refused a request for lack of capacity.
     pub fn record_refusal(&mut self, key: &UpstreamKey) {
         if let Some(tally) = self.tallies.get_mut(key) {
             tally.limit.record_refusal();
         }
     }
 
-    /// Drops counts older than any report in use, and upstreams that are gone and idle.
+    /// Drops counts older than any report in use, and idle upstreams that have departed.
     pub fn prune(&mut self, oldest_report: Instant, known: impl Fn(&UpstreamKey) -> bool) {
         for tally in self.tallies.values_mut() {
             let old = |time: &&Instant| **time < oldest_report;
@@ -231,7 +233,7 @@
     }
 }
 
-/// Draws a pool by weight; pools of weight 0 are drawn only where there is no other.
+/// Draws a pool by weight. Pools of weight 0 are never drawn.
 fn choose_pool<'a>(candidates: &[&'a RouteCandidate], rng: &mut impl Rng) -> Option<&'a str> {
     let mut pools: Vec<(&str, u64)> = Vec::new();
     for candidate in candidates {
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,8 +1,8 @@
-//! Which upstream holds which prompt prefix in its cache, as far as known.
+//! Tracks which upstream is expected to have cached which prompt prefix.
 //!
-//! The table learns from what this daemon sent and from upstreams' cache
-//! events. Events come late and with gaps: a gap makes everything believed of
-//! that upstream doubtful, so it is dropped and learnt anew.
+//! The table learns from the requests that this daemon sends and from the upstreams' cache events.
+//! Events can be late or lost: after a gap in the sequence numbers all entries of that upstream are
+//! uncertain, so they are dropped and learnt again.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -10,12 +10,12 @@
 
 use crate::picker::UpstreamKey;
 
-/// Bytes of prompt in one hashed block.
+/// Bytes of the prompt in one hashed block.
 const BLOCK_BYTES: usize = 256;
-/// Most blocks hashed of one prompt.
+/// Maximum number of blocks hashed of one prompt.
 const MAX_BLOCKS: usize = 64;
 
-/// Hashes a prompt's leading blocks, each together with all before it.
+/// Hashes the leading blocks of a prompt, each together with all blocks before it.
 pub fn hash_prefix(model: &str, prompt: &str) -> Vec<u64> {
     let mut seed = xxh3_64_with_seed(model.as_bytes(), 0);
     prompt
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// Bounded memory of prefixes and the upstreams that hold them.
+/// Bounded table of prefixes and the upstreams that have cached them.
 #[derive(Debug)]
 pub struct PrefixTable {
     holders: HashMap<u64, UpstreamKey>,
@@ -39,7 +39,7 @@
 }
 
 impl PrefixTable {
-    /// Creates a table that remembers at most `capacity` blocks.
+    /// Creates a table that keeps at most `capacity` blocks.
     pub fn new(capacity: usize) -> Self {
         Self {
             holders: HashMap::new(),
@@ -49,17 +49,18 @@
         }
     }
 
-    /// Blocks remembered.
+    /// Returns the number of blocks in the table.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Upstream that holds the longest known prefix, and how many blocks that is.
+    /// Returns the upstream that has cached the longest known prefix, and the number of blocks of
+    /// that prefix.
     pub fn longest(&self, blocks: &[u64]) -> Option<(&UpstreamKey, usize)> {
         blocks
             .iter()
@@ -68,7 +69,7 @@
             .find_map(|(position, block)| Some((self.holders.get(block)?, position + 1)))
     }
 
-    /// Notes that an upstream has now computed these blocks.
+    /// Records that an upstream has computed these blocks.
     pub fn learn(&mut self, blocks: &[u64], holder: &UpstreamKey) {
         for block in blocks {
             if self.holders.insert(*block, holder.clone()).is_none() {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Takes a cache event that removes blocks; returns false at a gap in the numbers.
+    /// Applies a cache event that removes blocks; returns false after a gap in the sequence
+    /// numbers.
     pub fn apply_removal(&mut self, holder: &UpstreamKey, sequence: u64, blocks: &[u64]) -> bool {
         let last = self.sequences.insert(holder.clone(), sequence);
         if last.is_some_and(|last| last + 1 != sequence) {
@@ -98,7 +100,7 @@
         true
     }
 
-    /// Drops everything believed of an upstream.
+    /// Drops all entries of an upstream.
     pub fn forget_upstream(&mut self, holder: &UpstreamKey) {
         self.holders.retain(|_, known| known != holder);
         self.order.retain(|block| self.holders.contains_key(block));
--- a/crates/routing/src/probes.rs
+++ b/crates/routing/src/probes.rs
@@ -1,29 +1,32 @@
-//! Decides which daemon sends a request once more whose hold is over.
+//! Decides which daemon sends a probe request after the quarantine of a request has expired.
 //!
-//! Load pattern: a request that ended upstreams was held, and copies of it come to all daemons all
-//! the while. Were it free again everywhere at once, each daemon would send one, and as many
-//! upstreams would end under it.
+//! Load pattern: while a request that crashed upstreams is quarantined, duplicates of it keep
+//! arriving at all daemons. If every daemon could send it again as soon as the quarantine expires,
+//! each would send one, and as many upstreams would crash.
 //!
-//! Decision: time is divided into windows, and in each of them half a daemon may try, in the mean.
-//! Nobody has to agree on that: each draws for itself, from what all know. Where nothing comes of
-//! it, since the request is rare, twice as many may try after each while, in the end all.
+//! Decision: time is divided into windows, in each of which half a daemon may send a probe request
+//! on average. Daemons need no agreement for this: each draws by itself from facts that all of them
+//! know. If the request is rare and no probe request is sent, the number of daemons that may send
+//! one doubles at intervals, until all of them may.
 
 use std::time::Duration;
 
 use hollowbarrow_schema::RequestDigest;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Daemons for each one that may try at first, in the mean: two at once are seldom then.
+/// Number of daemons per daemon that may send a probe request at first, on average. With this
+/// number, two probe requests in one window are rare.
 const INITIAL_DAEMONS_PER_PROBE: u32 = 2;
-/// Time after which twice as many may try: several windows, in which a request that comes often
-/// meets one that may, and in which all hear what came of it.
+/// Time after which the number of daemons that may send a probe request doubles. It spans several
+/// windows, so that a frequent request reaches a daemon that may send it and all daemons receive
+/// the outcome.
 const DOUBLING_TIME: Duration = Duration::from_secs(5);
 
-/// When a caller may come back whose request another daemon may be trying.
+/// Retry-After delay of a caller whose request another daemon may be probing.
 const PROBE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// For how long a daemon sends a request to no upstream whose hold has been over for `over`; none
-/// where it may try. The other arguments are those of [`may_probe`].
+/// Returns how long a daemon must still not send a request whose quarantine expired `expired_for`
+/// ago; `None` if it may send a probe request. The other arguments are those of [`may_probe`].
 pub fn probe_delay(
     daemon: u64,
     request: RequestDigest,
@@ -34,8 +37,8 @@
     (!may_probe(daemon, request, window, daemons, expired_for)).then_some(PROBE_RETRY_AFTER)
 }
 
-/// Whether a daemon may send a request once more in this window; `daemon` tells it from the
-/// others, and the hold has been over for `over`.
+/// Returns whether a daemon may send a probe request in this window. `daemon` identifies the
+/// daemon, and the quarantine expired `expired_for` ago.
 pub fn may_probe(
     daemon: u64,
     request: RequestDigest,
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,8 +1,7 @@
-//! What may be tried again, and what the caller is told.
+//! Decides which requests may be retried, and what the caller is told.
 //!
-//! The rules turn on one question: can the request have run? Only where no
-//! byte of it left, or an upstream that is known to say so truthfully refused
-//! it, is the answer no.
+//! The rules depend on whether the request can have run. It cannot have run only if no byte of it
+//! was sent, or if an upstream that reports this reliably refused it.
 
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
@@ -11,62 +10,64 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Retries allowed for each request that was sent.
+/// Retries earned by each request that is sent.
 const BUDGET_RATIO: f64 = 0.1;
-/// Retries allowed each second whatever the traffic.
+/// Retries allowed each second, whatever the traffic.
 const BUDGET_FLOOR: f64 = 5.0;
-/// Most retries saved up.
+/// Maximum number of retries that can be saved up.
 const BUDGET_MOST: f64 = 100.0;
-/// Most attempts at one request.
+/// Maximum number of attempts for one request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// How an attempt at an upstream failed.
+/// Failure of an attempt at an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AttemptUpstreamError {
-    /// No connection was made, so no byte left.
+    /// No connection was established, so no byte was sent.
     #[error("the upstream could not be reached")]
     NotReached,
-    /// The lease or deadline ran out before the first byte left.
+    /// The lease or the deadline expired before the first byte was sent.
     #[error("the upstream's lease ran out before the request was sent")]
     NotSent,
-    /// The upstream asked for no requests before the first byte left.
-    #[error("the upstream wants no requests for now")]
+    /// The upstream asked for a backoff before the first byte was sent.
+    #[error("the upstream asked for a backoff")]
     BackedOff,
-    /// The upstream refused and is known to say truthfully that it ran nothing.
+    /// The upstream refused the request, and its report that it did not run the request is
+    /// reliable.
     #[error("the upstream refused the request with status {status}")]
     Refused {
         /// HTTP status of the refusal.
         status: u16,
-        /// When the upstream wants it to be tried again.
+        /// Time after which the upstream asks for a retry.
         retry_after: Option<Duration>,
     },
-    /// Some of the request left and no answer came.
+    /// Part of the request was sent and no answer was received.
     #[error("the upstream did not answer")]
     NoAnswer,
-    /// The connection ended before the answer was whole, as it does where the upstream ends.
+    /// The connection closed before the answer was complete, for example because the upstream's
+    /// process terminated.
     #[error("the upstream's connection broke")]
     ConnectionLost {
-        /// Tokens that had come whole.
+        /// Number of tokens received completely.
         tokens: u32,
     },
-    /// The answer broke off or broke the protocol after some of it came.
+    /// The answer was truncated, or violated the protocol after part of it was received.
     #[error("the upstream's answer broke off: {reason}")]
     BrokenAnswer {
-        /// What was wrong.
+        /// The fault in the answer.
         reason: &'static str,
-        /// Tokens that had come whole.
+        /// Number of tokens received completely.
         tokens: u32,
     },
-    /// The time for the request ran out.
+    /// The time limit of the request expired.
     #[error("the deadline passed")]
     DeadlinePassed {
-        /// Whether a byte of the request had left.
+        /// Whether any byte of the request had been sent.
         sent: bool,
     },
 }
 
 impl AttemptUpstreamError {
-    /// Whether the request ran, as far as can be known.
+    /// Returns whether the request ran, as far as is known.
     pub fn ran(&self) -> ErrorRan {
         match self {
             Self::NotReached | Self::NotSent | Self::BackedOff | Self::Refused { .. } => {
@@ -80,44 +81,46 @@
         }
     }
 
-    /// Whether the failure speaks against the upstream. One that asks for a backoff says itself
-    /// when it wants requests again, and would not be chosen then if it counted as failing.
+    /// Returns whether the failure counts against the upstream. An upstream that asks for a backoff
+    /// states when it accepts requests again; if it also counted as failing, it would not be
+    /// selected at that time.
     pub fn blames_upstream(&self) -> bool {
         !matches!(self, Self::BackedOff | Self::Refused { retry_after: Some(_), .. })
     }
 }
 
-/// What is known of a request when an attempt fails.
+/// State of a request when an attempt fails.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the engine can go on from a given token.
+    /// Whether the engine can continue an answer from a given token.
     pub resumable: bool,
-    /// Whether part of the answer has already gone to the caller.
+    /// Whether part of the answer has been sent to the caller.
     pub answer_started: bool,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// When the request must be done.
+    /// Deadline of the request.
     pub deadline: Instant,
 }
 
-/// What to do after a failed attempt.
+/// What follows a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryStep {
-    /// Send the whole request to another upstream.
+    /// Send the complete request to another upstream.
     Again,
-    /// Have another upstream go on from the last token.
+    /// Have another upstream continue from the last token.
     Resume,
-    /// Tell the caller, with whether it ran.
+    /// Report the failure to the caller, with whether the request ran.
     GiveUp(ErrorRan),
 }
 
-/// Decides what follows a failed attempt; the budget is asked only where a retry is safe.
+/// Decides what follows a failed attempt. The budget is charged only if a retry is safe.
 ///
-/// The first resumption of an answer takes nothing from the budget: a replica that fails breaks all
-/// its answers at once, which may be more than the traffic has earned. It cannot amplify an outage,
-/// since each such answer had an upstream that worked, and goes on where that one stopped.
+/// The first resumption of an answer is not charged to the budget: a failing replica interrupts all
+/// of its answers at once, which may exceed what the traffic has earned. Such resumptions cannot
+/// amplify an outage, since each of these answers had a working upstream and continues where that
+/// upstream stopped.
 pub fn decide_retry(
     facts: &RequestFacts,
     error: &AttemptUpstreamError,
@@ -141,14 +144,14 @@
     if facts.answer_started { RetryStep::Resume } else { RetryStep::Again }
 }
 
-/// How many retries are allowed.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
     /// Retries earned by each first attempt.
     pub ratio: f64,
-    /// Retries earned each second whatever the traffic.
+    /// Retries earned each second, whatever the traffic.
     pub floor: f64,
-    /// Most retries saved up.
+    /// Maximum number of retries that can be saved up.
     pub most: f64,
 }
 
@@ -165,38 +168,38 @@
     filled: Instant,
 }
 
-/// Bounds retries to a part of the traffic, so that they cannot amplify an outage.
+/// Bounds retries to a share of the traffic, so that they cannot amplify an outage.
 #[derive(Debug)]
 pub struct RetryBudget {
     state: Mutex<BudgetState>,
 }
 
 impl RetryBudget {
-    /// Creates a budget with one second's floor in it.
+    /// Creates a budget that holds the retries earned in one second by the floor.
     pub fn new(now: Instant) -> Self {
         Self::with_limits(RetryLimits::default(), now)
     }
 
-    /// Creates a budget with other limits.
+    /// Creates a budget with the given limits.
     pub fn with_limits(limits: RetryLimits, now: Instant) -> Self {
         let tokens = limits.floor.min(limits.most);
         Self { state: Mutex::new(BudgetState { limits, tokens, filled: now }) }
     }
 
-    /// Changes the limits; what was saved beyond them is lost.
+    /// Changes the limits; retries saved beyond the new maximum are lost.
     pub fn set_limits(&self, limits: RetryLimits) {
         let mut state = self.lock();
         state.tokens = state.tokens.min(limits.most);
         state.limits = limits;
     }
 
-    /// Notes a first attempt, which earns a part of a retry.
+    /// Records a first attempt, which earns a fraction of a retry.
     pub fn record_request(&self) {
         let mut state = self.lock();
         state.tokens = (state.tokens + state.limits.ratio).min(state.limits.most);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget, if there is one.
     pub fn take(&self, now: Instant) -> bool {
         let mut state = self.lock();
         let elapsed = now.saturating_duration_since(state.filled).as_secs_f64();
