--- a/crates/routing/src/burst.rs
+++ b/crates/routing/src/burst.rs
@@ -1,16 +1,16 @@
 //! Distinguishes a burst of a request that crashes upstreams from a loss of upstreams that
 //! interrupted a harmless request.
 //!
-//! Load pattern: many duplicates of such a request arrive together and are sent before the first of
-//! them has crashed its upstream. When all terminations of one moment were taken for one event,
-//! such as the loss of a rack, forty duplicates crashed ten of ten upstreams at once, and again
-//! each time that they arrived.
+//! Load pattern: many duplicates of a request that crashes upstreams arrive together and are sent
+//! before the first of them has crashed its upstream. When all terminations of one moment were
+//! taken for one event, such as the loss of a rack, forty duplicates crashed ten of ten upstreams
+//! at once, and again each time that they arrived.
 //!
 //! The criterion: a request that crashes upstreams was in progress at those that terminated and is
 //! answered by none. A loss also takes upstreams that were running something else, and some
 //! duplicates of a request that many callers send are answered elsewhere.
 //!
-//! Trade-off: a request that was never answered before and runs nearly everywhere looks guilty when
+//! Trade-off: a request that was never answered before and runs nearly everywhere is suspected when
 //! all upstreams are lost. It is quarantined for as long as upstreams take to restart, and its
 //! first answer clears it. `tests/crash_bursts.rs` prints the rates of the alternatives.
 
--- a/crates/routing/src/copies.rs
+++ b/crates/routing/src/copies.rs
@@ -43,7 +43,7 @@
     /// Whether other duplicates arrived while one was in progress or during a pause.
     has_others: bool,
     /// Whether part of an answer has been received.
-    proven: bool,
+    has_answer: bool,
     paused_until: Option<Instant>,
 }
 
@@ -72,8 +72,8 @@
     pub fn begin(&mut self, request: RequestDigest, answered: bool, now: Instant) -> DuplicateStep {
         self.prune(now);
         let entry = self.entries.entry(request).or_default();
-        entry.proven |= answered;
-        if !entry.proven {
+        entry.has_answer |= answered;
+        if !entry.has_answer {
             if let Some(until) = entry.pause(now) {
                 entry.has_others = true;
                 return DuplicateStep::Wait(Some(until));
@@ -90,7 +90,7 @@
     /// Records that part of an answer was received.
     pub fn record_progress(&mut self, request: RequestDigest) {
         if let Some(entry) = self.entries.get_mut(&request) {
-            entry.proven = true;
+            entry.has_answer = true;
         }
     }
 
@@ -98,7 +98,7 @@
     /// the duplicate must not be retried, if there are other duplicates.
     pub fn record_crash(&mut self, request: RequestDigest, now: Instant) -> Option<Instant> {
         let entry = self.entries.get_mut(&request)?;
-        if entry.proven || !entry.has_others {
+        if entry.has_answer || !entry.has_others {
             return None;
         }
         let until = now + PROPAGATION_TIME;
--- a/crates/routing/src/limit_coordinator.rs
+++ b/crates/routing/src/limit_coordinator.rs
@@ -31,7 +31,7 @@
     notices: LimitTable<String>,
     issuer: PermitIssuer,
     /// When limits were last published to all daemons; `None` if one has changed since.
-    published: Option<Instant>,
+    last_published: Option<Instant>,
 }
 
 /// The effects of a message from a daemon.
@@ -64,7 +64,7 @@
                 let limit = self.notices.limit(&reported.upstream);
                 self.issuer.set_limit(&reported.upstream, limit, now);
                 changed.push((reported.upstream.clone(), limit));
-                self.published = None;
+                self.last_published = None;
             }
         }
         for need in &ask.needs {
@@ -105,10 +105,10 @@
     /// interval.
     pub fn due_limits(&mut self, now: Instant) -> Vec<UpstreamLimit> {
         let recent = |at: Instant| now.saturating_duration_since(at) < PUBLISH_INTERVAL;
-        if self.published.is_some_and(recent) {
+        if self.last_published.is_some_and(recent) {
             return Vec::new();
         }
-        self.published = Some(now);
+        self.last_published = Some(now);
         self.published_limits(now)
     }
 
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -15,8 +15,8 @@
 use crate::limit_table::{LimitNotice, LimitTable, NoticeInterval};
 use crate::permits::{Permit, PermitHolder};
 
-/// Time by which a notice from another daemon may be older than its stated age, for the delivery of
-/// the message.
+/// Maximum delivery time of a message, by which a notice from another daemon may be older than its
+/// stated age.
 const MAX_DELIVERY_TIME: Duration = Duration::from_millis(200);
 /// Time for which a published notice is kept after the leader stops publishing it. A new leader
 /// learns the limit within this time.
@@ -130,11 +130,11 @@
     /// changed.
     fn apply_change(&mut self, upstream: &str, former: Option<RequestRate>) -> bool {
         let limit = self.limit(upstream);
-        let falls = match (former, limit) {
+        let decreases = match (former, limit) {
             (Some(former), Some(limit)) => limit < former,
             _ => false,
         };
-        if falls {
+        if decreases {
             self.holder.record_limit_decrease(upstream);
         }
         limit != former
@@ -147,10 +147,10 @@
             self.local.notices().map(|(name, _)| name).chain(self.published.keys()).collect();
         let limited: Vec<(String, RequestRate)> =
             names.into_iter().filter_map(|name| Some((name.clone(), self.limit(name)?))).collect();
-        let lacks = |(name, limit): &(String, RequestRate)| {
+        let lacks_permit = |(name, limit): &(String, RequestRate)| {
             !self.holder.has_permit(name, *limit, daemons, now)
         };
-        limited.into_iter().filter(lacks).map(|(name, _)| name).collect()
+        limited.into_iter().filter(lacks_permit).map(|(name, _)| name).collect()
     }
 
     /// Takes a permit for a request; returns `None` if the upstream has no limit or no permit is
--- a/crates/routing/tests/backoff.rs
+++ b/crates/routing/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Upstreams that want no requests.
+//! Tests of the table of upstreams that asked for a backoff or are leaving.
 
 use std::time::Duration;
 
@@ -23,10 +23,10 @@
     table.record_backoff(&"a", BACKOFF, now);
     let left = left_ms.map(|ms| BackoffReason::Requested(Duration::from_millis(ms)));
     assert_eq!(table.reason(&"a", after(now, ms)), left);
-    assert_eq!(table.reason(&"b", after(now, ms)), None, "it asked for nothing");
+    assert_eq!(table.reason(&"b", after(now, ms)), None, "b asked for no backoff");
 }
 
-/// Several requests are turned away at about the same moment, each with a time of its own.
+/// Several requests are rejected at about the same time, each with its own backoff.
 #[rstest]
 #[case::shorter_later(&[(0, 3000), (500, 1000)], 3000)]
 #[case::longer_later(&[(0, 1000), (500, 3000)], 3500)]
@@ -46,12 +46,12 @@
     let now = Instant::now();
     let mut table = BackoffTable::new();
     table.record_backoff(&"a", BACKOFF, now);
-    assert!(table.record_leaving(&"a"), "it is news");
-    assert!(!table.record_leaving(&"a"), "it is known");
+    assert!(table.record_leaving(&"a"), "the first notice is new");
+    assert!(!table.record_leaving(&"a"), "a repeated notice is not new");
     assert_eq!(table.reason(&"a", after(now, 86_400_000)), Some(BackoffReason::Leaving));
 }
 
-/// A nonsense time does not take an upstream that works out of service for good.
+/// An unreasonably long backoff must not take a working upstream out of service permanently.
 #[rstest]
 fn reason_requested_too_long() {
     let now = Instant::now();
@@ -61,7 +61,7 @@
     assert_eq!(table.reason(&"a", after(now, 3_600_000)), None);
 }
 
-/// What is kept is bounded by the upstreams that are known.
+/// The size of the table is bounded by the number of known upstreams.
 #[rstest]
 fn prune_keeps_active() {
     let now = Instant::now();
--- a/crates/routing/tests/config_freshness.rs
+++ b/crates/routing/tests/config_freshness.rs
@@ -1,15 +1,16 @@
-//! When a daemon may say that a route, a key or a model does not exist.
+//! Tests of when a daemon may state that a route, a key or a model does not exist.
 
 use std::time::Duration;
 
 use hollowbarrow_routing::ConfigFreshness;
 use rstest::rstest;
 
-/// Time for which the leader's word holds.
+/// Time for which the leader's confirmation is valid.
 const VALIDITY: Duration = Duration::from_millis(1200);
 
-/// Gateways refused an acknowledged route with 404 for as long as no controller led: they held
-/// version 378, no leader had told them of any (`known=0 view_ms=none`), and 380 was in force.
+/// Guards against refusing an existing route with 404 while no controller leads: gateways had
+/// version 378, no leader had reported any version (`known=0 view_ms=none`), and version 380 with
+/// the acknowledged route was in force.
 #[rstest]
 #[case::no_confirmation(378, 0, None, false)]
 #[case::confirmed_newer(378, 380, Some(90), false)]
--- a/crates/routing/tests/content.rs
+++ b/crates/routing/tests/content.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same.
+//! Tests of the digest by which a repeated request is recognised.
 
 use hollowbarrow_routing::RequestContent;
 use rstest::rstest;
--- a/crates/routing/tests/copies.rs
+++ b/crates/routing/tests/copies.rs
@@ -1,4 +1,4 @@
-//! How many copies of a request go at once.
+//! Tests of the bound on duplicates in progress.
 
 use std::time::Duration;
 
@@ -24,7 +24,11 @@
     assert_eq!(limiter.begin(RequestDigest(8), false, now), DuplicateStep::Go, "another request");
     limiter.record_progress(REQUEST);
     for _ in 0..100 {
-        assert_eq!(limiter.begin(REQUEST, false, now), DuplicateStep::Go, "it is answered");
+        assert_eq!(
+            limiter.begin(REQUEST, false, now),
+            DuplicateStep::Go,
+            "the request was answered"
+        );
     }
 }
 
@@ -37,24 +41,25 @@
     }
 }
 
-/// An upstream ends under the first of several: none goes before the others' news can have come.
+/// If an upstream terminates under the first of several duplicates, none is sent before records of
+/// other daemons can have arrived.
 #[rstest]
 fn begin_after_end() {
     let now = Instant::now();
     let mut limiter = DuplicateLimiter::new();
     limiter.begin(REQUEST, false, now);
     limiter.begin(REQUEST, false, now);
-    let until = limiter.record_crash(REQUEST, now + ms(40)).expect("there is another one");
+    let until = limiter.record_crash(REQUEST, now + ms(40)).expect("there is another duplicate");
     assert_eq!(until, now + ms(40) + PROPAGATION_TIME);
     limiter.end(REQUEST, now + ms(40));
     let paused = DuplicateStep::Wait(Some(until));
     assert_eq!(limiter.begin(REQUEST, false, now + ms(41)), paused);
     assert_eq!(limiter.begin(REQUEST, false, until), DuplicateStep::Go);
     limiter.end(REQUEST, until);
-    assert!(limiter.is_empty(), "nothing is kept of it");
+    assert!(limiter.is_empty(), "the entry is removed");
 }
 
-/// A request that comes once and is broken off goes on at once.
+/// A single request that is interrupted is retried at once.
 #[rstest]
 fn record_crash_single_request() {
     let now = Instant::now();
@@ -75,7 +80,7 @@
     assert_eq!(limiter.begin(REQUEST, false, now + ms(10)), DuplicateStep::Go);
 }
 
-/// Nothing is kept of pauses that are over, although nobody comes again.
+/// Expired pauses are removed even if no further duplicate arrives.
 #[rstest]
 fn begin_forgets_pauses() {
     let now = Instant::now();
@@ -92,7 +97,8 @@
     assert_eq!(limiter.len(), 1);
 }
 
-/// Forty copies come at once: one goes, and the others go with its first event, or not at all.
+/// Forty duplicates arrive at once: one is sent, and the others are sent after its first event, or
+/// not at all.
 #[rstest]
 #[case::answered(true, 40)]
 #[case::ended(false, 1)]
@@ -100,7 +106,7 @@
 async fn enter_burst(#[case] answered: bool, #[case] expected: usize) {
     let gate = DuplicateGate::new();
     let limit = Instant::now() + ms(250);
-    let first = gate.enter(REQUEST, false, limit).await.expect("it is the first");
+    let first = gate.enter(REQUEST, false, limit).await.expect("the first duplicate is admitted");
     let others = (0..39).map(|_| gate.enter(REQUEST, false, limit));
     let others = async {
         let mut tickets = Vec::new();
--- a/crates/routing/tests/crash_bursts.rs
+++ b/crates/routing/tests/crash_bursts.rs
@@ -1,8 +1,9 @@
-//! How well a burst of a request that ends upstreams is told from a loss that it only met.
+//! Measures how well a burst of a request that crashes upstreams is distinguished from a loss of
+//! upstreams that interrupts a harmless request.
 //!
-//! Many draws of each situation, with seeds: what gateways together saw of one request is given to
-//! the ledger. `HOLLOWBARROW_BURST_TABLE=1` prints the rates of the ways that were weighed beside
-//! it, with `--nocapture`.
+//! Each situation is drawn many times with seeds: what all gateways together observed of one
+//! request is recorded in the ledger. `HOLLOWBARROW_BURST_TABLE=1` with `--nocapture` also prints
+//! the rates of the alternative strategies.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,44 +16,45 @@
 use tokio::time::Instant;
 
 const REQUEST: RequestDigest = RequestDigest(7);
-/// Upstreams of the service, by zones and racks of equal size.
+/// Upstreams of the service, divided into zones and racks of equal size.
 const UPSTREAMS: u64 = 12;
 const ZONES: u64 = 3;
 const RACKS: u64 = 6;
-/// Gateways that see them.
+/// Gateways that observe the upstreams.
 const GATEWAYS: usize = 3;
-/// Time from the first event of a draw to the moment that matters.
+/// Time from the start of a draw to its burst or loss.
 const LEAD_MS: f64 = 10_000.0;
-/// Other requests each second, each unlike all others.
+/// Background requests a second, each with different content.
 const BACKGROUND_RATE: f64 = 40.0;
-/// Time that a request runs where nothing ends it.
+/// Time that a request runs if it is not interrupted.
 const RUN_MS: (f64, f64) = (100.0, 2000.0);
-/// Time within which all upstreams of a loss end.
+/// Time within which all upstreams of a loss terminate.
 const LOSS_MS: f64 = 50.0;
-/// Time after the last end by which it is known everywhere.
+/// Time after the last termination by which all daemons know of it.
 const PROPAGATION_MS: f64 = 600.0;
-/// Draws of each situation that did no harm.
+/// Draws of each situation with a harmless request.
 const HARMLESS_DRAWS: u64 = 10_000;
-/// Draws of each situation with a request that ends upstreams.
+/// Draws of each situation with a request that crashes upstreams.
 const CRASHING_DRAWS: u64 = 2_000;
 
-/// One run of the request or of another one, in milliseconds from the beginning of a draw.
+/// One run of the suspected request or of a background request, in milliseconds from the start of a
+/// draw.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     request: u64,
     upstream: u64,
     sent: f64,
-    /// When it would be answered.
+    /// When the run would be answered.
     done: f64,
 }
 
-/// What was seen in one draw.
+/// What was observed in one draw.
 #[derive(Clone, Debug, Default)]
 struct Scenario {
     runs: Vec<Run>,
-    /// When each upstream ended, by its number; none for those that stayed.
+    /// When each upstream terminated, by its number; `None` for those that did not.
     ended: Vec<Option<f64>>,
-    /// From when on gateways remember answers; those of before were forgotten with a restart.
+    /// Time since which gateways remember answers; earlier ones were lost in a restart.
     remembered: f64,
 }
 
@@ -69,9 +71,9 @@
         self.runs.push(Run { request, upstream, sent, done });
     }
 
-    /// Other requests all the while.
+    /// Adds background requests over the whole draw.
     fn add_background(&mut self, rng: &mut impl Rng) {
-        // What was sent earlier has ended by then.
+        // Runs sent earlier have ended by the time of the burst or loss.
         let from = LEAD_MS - 3000.0 - RUN_MS.1;
         let count = (BACKGROUND_RATE * (LEAD_MS + 1000.0 - from) / 1000.0) as u64;
         for number in 0..count {
@@ -85,13 +87,13 @@
         *ended = Some(ended.map_or(at, |earlier: f64| earlier.min(at)));
     }
 
-    /// Whether a run was broken off, and when.
+    /// Returns when a run was interrupted, if it was.
     fn truncated_at(&self, run: &Run) -> Option<f64> {
         let ended = self.ended[run.upstream as usize]?;
         (run.sent < ended && run.done > ended).then_some(ended)
     }
 
-    /// Runs that were broken off, of the request or of all.
+    /// Returns the interrupted runs of the suspected request, or of all requests.
     fn truncated_runs(&self, suspect_only: bool) -> Vec<(u64, Run, f64)> {
         let truncated_at = self.runs.iter().filter_map(|run| {
             let at = self.truncated_at(run)?;
@@ -104,7 +106,8 @@
         self.truncated_runs(true).iter().map(|(_, _, at)| *at).fold(0.0, f64::max)
     }
 
-    /// When the request was last answered before a moment, as far as anybody remembers.
+    /// Returns the last answer to the suspected request before a time, as far as any daemon
+    /// remembers it.
     fn answered(&self, before: f64) -> Option<f64> {
         let answers = self.runs.iter().filter(|run| {
             let ended = self.ended[run.upstream as usize];
@@ -117,7 +120,7 @@
     }
 }
 
-/// Ways to decide; true where the request is held.
+/// A strategy; it returns whether the request is quarantined.
 type Strategy = fn(&Scenario, f64) -> bool;
 
 fn distinct(scenario: &Scenario, suspect_only: bool) -> usize {
@@ -125,7 +128,7 @@
     truncated_at.iter().map(|(_, run, _)| run.upstream).collect::<BTreeSet<_>>().len()
 }
 
-/// Runs that followed each other: what counted alone before.
+/// Three consecutive runs.
 fn by_sequence(scenario: &Scenario, at: f64) -> bool {
     let mut runs = scenario.truncated_runs(true);
     runs.sort_by(|a, b| a.2.total_cmp(&b.2));
@@ -145,28 +148,30 @@
     distinct(scenario, true) >= 3
 }
 
-/// Any three upstreams, and never an answer.
+/// Any three upstreams, and no answer.
 fn by_count_unanswered(scenario: &Scenario, at: f64) -> bool {
     by_count(scenario, at) && scenario.answered(at).is_none()
 }
 
-/// The same, and it was under way at half or more of all that ended.
+/// Any three upstreams, no answer, and in progress on at least half of all upstreams that
+/// terminated.
 fn by_coverage(scenario: &Scenario, at: f64) -> bool {
     by_count_unanswered(scenario, at) && distinct(scenario, true) * 2 >= distinct(scenario, false)
 }
 
-/// The same with four in five of them.
+/// Any three upstreams, no answer, and in progress on at least four in five of all upstreams that
+/// terminated.
 fn by_high_coverage(scenario: &Scenario, at: f64) -> bool {
     by_count_unanswered(scenario, at)
         && distinct(scenario, true) * 5 >= distinct(scenario, false) * 4
 }
 
-/// What the ledger of the leader says, which hears of everything.
+/// The ledger of the leader, which receives all records.
 fn by_ledger(scenario: &Scenario, at: f64) -> bool {
     quarantine_of(scenario, at, |_| true).is_some()
 }
 
-/// What one gateway of several says, which sees what went through it.
+/// The ledger of one gateway, which observes its own requests only.
 fn by_one_gateway(scenario: &Scenario, at: f64) -> bool {
     quarantine_of(scenario, at, |number| number.is_multiple_of(GATEWAYS)).is_some()
 }
@@ -202,7 +207,7 @@
     ("ledger of one gateway", by_one_gateway),
 ];
 
-/// What is lost.
+/// The upstreams that are lost.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Rack,
@@ -224,12 +229,12 @@
     }
 }
 
-/// How a request that does no harm comes.
+/// How a harmless request arrives.
 #[derive(Clone, Copy, Debug)]
 enum Traffic {
-    /// Many callers send it all the time.
+    /// Many callers send it continuously.
     HotKey,
-    /// They have just begun to.
+    /// Many callers have just started to send it.
     NewHotKey,
     /// Some callers send it every second.
     Poll,
@@ -237,7 +242,7 @@
     Batch,
 }
 
-/// Times at which it is sent before a loss.
+/// Draws the times at which the request is sent before a loss.
 fn draw_times(traffic: Traffic, rng: &mut impl Rng) -> Vec<f64> {
     let rate = rng.random_range(5.0..50.0);
     let from = |start: f64, rng: &mut dyn FnMut() -> f64| -> Vec<f64> {
@@ -282,7 +287,8 @@
     scenario
 }
 
-/// Upstreams end one after the other, each for a reason of its own, under a hot key.
+/// Draws upstreams that terminate one after the other for separate reasons, while many callers send
+/// the same request.
 fn draw_series(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut scenario = Scenario::new();
@@ -298,8 +304,8 @@
     scenario
 }
 
-/// Copies of requests that end whatever they run on; the first of each `gateways` is sent, the
-/// others wait, or all are sent where nothing bounds them.
+/// Draws duplicates of requests that crash every upstream that runs them. If bounded, only the
+/// first duplicate at each gateway is sent and the others wait; otherwise all are sent.
 fn draw_crashing(requests: u64, bounded: bool, loss: Option<Loss>, seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut scenario = Scenario::new();
@@ -327,7 +333,8 @@
     scenario
 }
 
-/// Share of the draws that count in which a way holds the request.
+/// Returns the share of draws in which a strategy quarantines the request, among draws in which at
+/// least one of its runs was interrupted.
 fn quarantined_share(strategy: Strategy, draws: u64, draw: impl Fn(u64) -> Scenario) -> f64 {
     let (mut quarantined, mut all) = (0u64, 0u64);
     for seed in 0..draws {
@@ -341,8 +348,8 @@
     quarantined as f64 / all.max(1) as f64
 }
 
-/// A request that does no harm is held seldom, and hardly ever where anything is left that could
-/// serve it. What was answered, as far as anybody remembers, is never held.
+/// A harmless request is rarely quarantined, and almost never if any upstream is left that could
+/// serve it. A request that any daemon remembers as answered is never quarantined.
 #[rstest]
 #[case::hot_key_rack(Traffic::HotKey, Loss::Rack, false, 0.0)]
 #[case::hot_key_zone(Traffic::HotKey, Loss::Zone, false, 0.0)]
@@ -356,7 +363,7 @@
 #[case::batch_rack(Traffic::Batch, Loss::Rack, false, 0.0)]
 #[case::batch_zone(Traffic::Batch, Loss::Zone, false, 0.01)]
 #[case::batch_everything(Traffic::Batch, Loss::Everything, false, 0.25)]
-// Gateways and the leader have just started, and remember nothing of before.
+// Gateways and the leader have just started and remember nothing from before.
 #[case::hot_key_rack_started(Traffic::HotKey, Loss::Rack, true, 0.0)]
 #[case::hot_key_zone_started(Traffic::HotKey, Loss::Zone, true, 0.01)]
 #[case::hot_key_everything_started(Traffic::HotKey, Loss::Everything, true, 0.25)]
@@ -372,7 +379,7 @@
     let draw = |seed| draw_harmless(traffic, loss, started, seed);
     let share = quarantined_share(by_ledger, HARMLESS_DRAWS, draw);
     println!("{traffic:?} {loss:?} started={started}: {share:.4}");
-    assert!(share <= most, "{share} of the draws were held");
+    assert!(share <= most, "{share} of the draws were quarantined");
 }
 
 #[rstest]
@@ -381,8 +388,8 @@
     assert_eq!(share, 0.0);
 }
 
-/// Once three upstreams have ended under a burst, it is held. Beside a loss in the same moment it
-/// may be let go; what follows each other holds it then.
+/// A burst is quarantined once three upstreams have terminated under it. Beside a loss at the same
+/// time the burst may be missed; consecutive runs then lead to the quarantine.
 #[rstest]
 #[case::alone(1, true, None, 1.0)]
 #[case::not_bounded(1, false, None, 1.0)]
@@ -406,10 +413,10 @@
     }
     let share = quarantined as f64 / all as f64;
     println!("{requests} bounded={bounded} {loss:?}: {share:.4} of {all}");
-    assert!(share >= least, "only {share} of {all} draws were held");
+    assert!(share >= least, "only {share} of {all} draws were quarantined");
 }
 
-/// The rates of all ways, for people who weigh another one.
+/// Prints the rates of all strategies, to compare them with another one.
 #[rstest]
 fn quarantine_table() {
     if std::env::var_os("HOLLOWBARROW_BURST_TABLE").is_none() {
--- a/crates/routing/tests/crashes.rs
+++ b/crates/routing/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! Which requests are held because upstreams end under them, with the clock paused.
+//! Tests of which requests are quarantined because they crash upstreams.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
     Duration::from_millis(time)
 }
 
-/// A ledger with runs, each at an upstream of its own, by when they were sent and ended; it is
-/// asked long after `start`.
+/// Returns a ledger with runs, each on a different upstream, given by when they were sent and
+/// ended.
 fn ledger_of(start: Instant, runs: &[(u64, u64)]) -> CrashLedger {
     let mut ledger = CrashLedger::new();
     for (number, (sent, ended)) in runs.iter().enumerate() {
@@ -36,11 +36,11 @@
 #[case::three(&[(0, 100), (100, 200), (900, 1000)], Some(BASE_QUARANTINE))]
 #[case::out_of_order(&[(900, 1000), (0, 100), (100, 200)], Some(BASE_QUARANTINE))]
 #[case::four(&[(0, 100), (100, 200), (900, 1000), (1100, 1200)], Some(BASE_QUARANTINE * 2))]
-// A rack is lost: whatever was under way there breaks off at once.
+// The loss of a rack interrupts all requests in progress there at once.
 #[case::common_end(&[(0, 500), (10, 505), (20, 500), (300, 502), (400, 500)], None)]
-// Two such losses, and the repeat of one of those requests.
+// Two such losses, and the retry of one of the interrupted requests.
 #[case::two_common_ends(&[(0, 500), (10, 505), (600, 900), (610, 905)], None)]
-// Copies that are under way at once, as long as others follow.
+// Duplicates are in progress at the same time, but enough of the runs are consecutive.
 #[case::overlapping(&[(0, 100), (50, 150), (100, 200), (150, 250), (250, 300)], Some(BASE_QUARANTINE))]
 fn quarantine_runs(#[case] runs: &[(u64, u64)], #[case] expected: Option<Duration>) {
     let start = Instant::now();
@@ -56,7 +56,11 @@
     for number in 0..6 {
         ledger.record_run(REQUEST, run(start, 1, number * 100, number * 100 + 50));
     }
-    assert_eq!(ledger.quarantine_left(REQUEST, start + ms(600)), None, "an upstream that goes on");
+    assert_eq!(
+        ledger.quarantine_left(REQUEST, start + ms(600)),
+        None,
+        "an upstream that keeps running"
+    );
 }
 
 #[rstest]
@@ -69,9 +73,10 @@
     assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), None);
 }
 
-/// A request that many callers send alike was answered again and again, until workers ended one
-/// after the other for another reason. Three of its runs ended with them within two seconds, and
-/// then no gateway sent it to any worker for two minutes: 725 times it was refused.
+/// Guards against a long quarantine of a harmless request that many callers send. It had been
+/// answered many times when workers terminated one after the other for another reason. Three of its
+/// runs ended with them within two seconds, and no gateway sent it to any worker for two minutes:
+/// it was refused 725 times.
 #[rstest]
 #[case::three(3, None)]
 #[case::five(5, None)]
@@ -95,8 +100,8 @@
     for number in 3..10 {
         assert_eq!(ledger.quarantine_left(REQUEST, now), Some(quarantine.min(MAX_QUARANTINE)));
         now += quarantine.min(MAX_QUARANTINE);
-        assert_eq!(ledger.quarantine_left(REQUEST, now), None, "it may be tried once more");
-        assert_eq!(ledger.quarantined(now).len(), 1, "and is still known");
+        assert_eq!(ledger.quarantine_left(REQUEST, now), None, "a probe request may be sent");
+        assert_eq!(ledger.quarantined(now).len(), 1, "the request is still known");
         ledger.record_run(
             REQUEST,
             TerminatedRun { upstream: number, sent: now, ended: now + ms(50) },
@@ -105,10 +110,10 @@
         quarantine *= 2;
     }
     ledger.prune(now + Duration::from_secs(3600));
-    assert!(ledger.is_empty(), "after an hour nothing is known");
+    assert!(ledger.is_empty(), "runs expire after an hour");
 }
 
-/// Records go round and round among daemons, each time a little late.
+/// Records that daemons forward in a circle, each time with a delay, must not get younger.
 #[rstest]
 fn merge_keeps_age() {
     let start = Instant::now();
@@ -125,7 +130,10 @@
         let left = ledger.quarantine_left(REQUEST, now);
         let expected = (start + ms(1000) + BASE_QUARANTINE).checked_duration_since(now);
         let late = left.unwrap_or_default().saturating_sub(expected.unwrap_or_default());
-        assert!(late <= ms(120), "it seems {late:?} younger, at most two ways of 40 ms expected");
+        assert!(
+            late <= ms(120),
+            "the record got {late:?} younger, at most two deliveries of 40 ms are expected"
+        );
     }
 }
 
@@ -147,11 +155,11 @@
     assert_eq!(ledger.due(start + ms(1000)).len(), 0, "nothing has changed");
     ledger.record_run(REQUEST, run(start, 9, 900, 1000));
     assert_eq!(ledger.due(start + ms(1075)).len(), 1);
-    assert_eq!(ledger.due(start + ms(3075)).len(), 1, "what was told may have been lost");
+    assert_eq!(ledger.due(start + ms(3075)).len(), 1, "the message may have been lost");
 }
 
-/// What was broken off once is told for some seconds, so that a storm does not fill messages for an
-/// hour; what was broken off twice is told on.
+/// A request that was interrupted once is sent for some seconds only, so that a large loss does not
+/// fill messages for an hour. A request that was interrupted twice is sent until its runs expire.
 #[rstest]
 #[case::once(&[(0, 100)], 9_000, 1)]
 #[case::once_long_ago(&[(0, 100)], 11_000, 0)]
@@ -160,11 +168,11 @@
 fn due_resend_time(#[case] runs: &[(u64, u64)], #[case] later: u64, #[case] expected: usize) {
     let start = Instant::now();
     let mut ledger = ledger_of(start, runs);
-    assert_eq!(ledger.due(start + ms(200)).len(), 1, "it is new");
+    assert_eq!(ledger.due(start + ms(200)).len(), 1, "a new record is due");
     assert_eq!(ledger.due(start + ms(later)).len(), expected);
 }
 
-/// A zone is lost: thousands of requests break off, and some of them matter.
+/// The loss of a zone interrupts thousands of requests, of which only some must be sent.
 #[rstest]
 fn due_bounded() {
     let start = Instant::now();
@@ -175,13 +183,16 @@
     assert!(ledger.len() <= 4096);
     let records = ledger.due(start + ms(2000));
     assert_eq!(records.len(), 16);
-    assert_eq!(records[0].request, REQUEST, "the likeliest comes first, though it is the oldest");
+    assert_eq!(
+        records[0].request, REQUEST,
+        "the most suspected request comes first, though it is the oldest"
+    );
     assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), Some(BASE_QUARANTINE));
 }
 
-/// Gateways and a leader, as the incident had them: a request that ends its upstreams after 80 ms
-/// comes once a second, at one of eight gateways in turn, each of which sends it to two upstreams
-/// at most. News take 300 ms each way.
+/// Guards against a request that crashes upstreams without end: it crashes its upstream after 80 ms
+/// and arrives once a second, at one of eight gateways in turn, each of which sends it to at most
+/// two upstreams. Records take 300 ms in each direction.
 #[rstest]
 fn quarantine_bounds_crashes() {
     let start = Instant::now();
@@ -207,7 +218,7 @@
         }
         leader.merge(&gateway.due(now + ms(100)), now + ms(400));
     }
-    assert_eq!(ended.len(), 4, "without a memory 120 would have ended");
+    assert_eq!(ended.len(), 4, "without records of runs, 120 upstreams would have terminated");
     let third = ended[2];
     let late = ended.iter().filter(|at| **at > third + ms(3000)).count();
     assert_eq!(late, 0);
@@ -216,8 +227,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In whatever order, and however often, records are told: what is known at the end is the
-    /// same, and what the naive count over all runs says.
+    /// Whatever the order and number of times in which records are merged, the result is the same
+    /// and equals that of the reference implementation over all runs.
     #[test]
     fn merge_any_order(
         runs in prop::collection::vec((0u32..2000, 1u32..400), 1..8),
@@ -252,7 +263,8 @@
     }
 }
 
-/// The longest series of runs since the answer, each sent after the one before had ended.
+/// Returns the length of the longest series of runs since the answer, each sent after the previous
+/// one had ended.
 fn reference_chain(runs: &[(u32, u32)], answered: Option<u32>) -> usize {
     let spans: Vec<(u32, u32)> = runs.iter().map(|(sent, length)| (*sent, sent + length)).collect();
     let usable: Vec<(u32, u32)> =
@@ -271,29 +283,31 @@
     subsets.filter_map(chosen).max().unwrap_or(0)
 }
 
-/// Whether three runs or more ended within 0.3 s, and not together although they were sent apart.
+/// Returns whether at least three runs ended within 0.3 s, unless they ended together although they
+/// were sent apart.
 fn reference_burst(runs: &[(u32, u32)]) -> bool {
     runs.iter().any(|(sent, length)| {
         let last = sent + length;
-        let moment: Vec<(u32, u32)> = runs
+        let window: Vec<(u32, u32)> = runs
             .iter()
             .filter(|(sent, length)| (sent + length).abs_diff(last) <= 300)
             .copied()
             .collect();
-        let apart = |values: Vec<u32>| {
+        let spread = |values: Vec<u32>| {
             values.iter().max().unwrap_or(&0) - values.iter().min().unwrap_or(&0)
         };
-        let ends = apart(moment.iter().map(|(sent, length)| sent + length).collect());
-        let lengths = apart(moment.iter().map(|(_, length)| *length).collect());
+        let ends = spread(window.iter().map(|(sent, length)| sent + length).collect());
+        let lengths = spread(window.iter().map(|(_, length)| *length).collect());
         let together = lengths > 60 && ends * 2 < lengths;
-        moment.len() >= 3 && !together
+        window.len() >= 3 && !together
     })
 }
 
-/// Three heads ended one after the other under other requests (40.14, 40.83 and 41.03 s), and with
-/// them broke off chats that are all alike. All controllers ended at 41.07 s, and so did the only
-/// gateway that had answered a chat: whoever led next heard of the runs only, took the chats for
-/// never answered, and they were refused for 70 s and more.
+/// Guards against a long quarantine after all daemons that had seen a request answered have
+/// terminated. Three heads terminated one after the other under other requests (at 40.14, 40.83 and
+/// 41.03 s) and interrupted chats with the same content. All controllers and the only gateway that
+/// had answered such a chat terminated at 41.07 s. The next leader received the runs only, took the
+/// chats for never answered, and they were refused for 70 s and more.
 #[rstest]
 #[case::led_long_before(0, BASE_QUARANTINE)]
 #[case::led_just_before(35_000, Duration::from_secs(30))]
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of the request path against naive rules, with the clock paused.
+//! Tests of the decisions of the request path, some against reference implementations.
 
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The naive rule, written out: what may have run and may not run twice is never sent again,
-    /// and "not run" is said only of what cannot have run.
+    /// The reference rule: a request that may have run and may not run twice is never sent again,
+    /// and "not run" is reported only if the request cannot have run.
     #[test]
     fn decide_reference_rule(
         which in 0usize..8, repeatable: bool, resumable: bool, started: bool,
@@ -58,7 +58,7 @@
         let cannot_have_run = matches!(which, 0..=3 | 6);
         match step {
             RetryStep::Again | RetryStep::Resume => {
-                prop_assert!(cannot_have_run || repeatable, "{error:?} was tried again");
+                prop_assert!(cannot_have_run || repeatable, "{error:?} was retried");
                 prop_assert!(!late && attempts < MAX_ATTEMPTS);
                 prop_assert_eq!(step == RetryStep::Resume, started);
                 prop_assert!(!started || resumable);
@@ -68,8 +68,7 @@
         }
     }
 
-    /// A pick is always one of the candidates, of a pool with weight, and of a zone that the
-    /// margin allows.
+    /// The selected upstream is always one of the candidates, and of a zone that the margin allows.
     #[test]
     fn pick_allowed(
         loads in prop::collection::vec((0u32..40, any::<bool>(), 0u32..3, 0u8..2), 1..20),
@@ -113,12 +112,12 @@
         budget.record_request();
         budget.take(now)
     });
-    // Everything fails: a tenth of the requests, and what was saved.
+    // If every request fails, a tenth of them is retried, and as many as were saved up.
     let retries = retries.count();
     assert!((95..=110).contains(&retries), "{retries} retries of 1000 requests");
 }
 
-/// The first resumption of a stream needs nothing of the budget, any further one does.
+/// The first resumption of a stream is not charged to the budget, any further one is.
 #[rstest]
 #[case::first(1, RetryStep::Resume)]
 #[case::second(2, RetryStep::GiveUp(ErrorRan::Unknown))]
@@ -137,7 +136,7 @@
     assert_eq!(decide_retry(&facts, &error, &budget, now), expected);
 }
 
-/// Differential: two random choices by estimated load against purely random ones.
+/// Compares two random choices by estimated load with one random choice.
 #[rstest]
 fn pick_better_than_random() {
     let now = Instant::now();
@@ -159,7 +158,7 @@
     let mut picker = RoutePicker::new(&zone, 100);
     let mut random = [0u32; 20];
     for _ in 0..800 {
-        let choice = picker.pick(&candidates, &[], &mut rng).expect("there is room");
+        let choice = picker.pick(&candidates, &[], &mut rng).expect("an upstream or slot is free");
         picker.record_start(&choice.key, &[], now);
         random[rand::RngExt::random_range(&mut rng, 0..20)] += 1;
     }
@@ -188,11 +187,12 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let calm = [candidate("holder", 4), candidate("other", 3)];
     for _ in 0..20 {
-        let choice = picker.pick(&calm, &blocks, &mut rng).expect("there is room");
+        let choice = picker.pick(&calm, &blocks, &mut rng).expect("an upstream or slot is free");
         assert_eq!((choice.key.name.as_str(), choice.prefix_blocks > 0), ("holder", true));
     }
     let busy = [candidate("holder", 60), candidate("other", 3)];
-    let choices = (0..20).map(|_| picker.pick(&busy, &blocks, &mut rng).expect("there is room"));
+    let choices = (0..20)
+        .map(|_| picker.pick(&busy, &blocks, &mut rng).expect("an upstream or slot is free"));
     assert!(choices.filter(|choice| choice.key.name == "other").count() > 5);
 }
 
@@ -203,8 +203,8 @@
     table.learn(&[1, 2, 3], &holder);
     assert!(table.apply_removal(&holder, 1, &[3]));
     assert_eq!(table.longest(&[1, 2, 3]).map(|(_, blocks)| blocks), Some(2));
-    assert!(!table.apply_removal(&holder, 3, &[]), "a gap is noticed");
-    assert!(table.longest(&[1, 2, 3]).is_none(), "what is doubtful is dropped");
+    assert!(!table.apply_removal(&holder, 3, &[]), "a gap is detected");
+    assert!(table.longest(&[1, 2, 3]).is_none(), "uncertain entries are dropped");
 }
 
 fn limiters(count: u32, rate: f64, now: Instant) -> Vec<OrganisationLimiter> {
@@ -214,7 +214,7 @@
         .collect()
 }
 
-/// Nine doors, all demand at some of them: together they let through about the limit.
+/// Nine daemons with all demand at some of them admit about the limit together.
 #[rstest]
 #[case::even(9)]
 #[case::skewed(2)]
@@ -229,7 +229,7 @@
     let (warm, measured) = (100, 200);
     for tick in 0..warm + measured {
         now += Duration::from_millis(50);
-        // Twice the limit is asked for, through the busy doors only.
+        // The demand is twice the limit, at the busy daemons only.
         let each = (rate * 2.0 * 0.05 / busy as f64) as u32;
         for limiter in limiters.iter().take(busy) {
             for _ in 0..each {
@@ -250,10 +250,11 @@
     }
     let per_second = admitted / (f64::from(measured) * 0.05);
     let error = (per_second - rate).abs() / rate;
-    assert!(error < 0.25, "{per_second:.0} a second were let through, {rate} are allowed");
+    assert!(error < 0.25, "{per_second:.0} requests a second were admitted, {rate} are allowed");
 }
 
-/// A door that hears from no one lets through its even part, so that all together keep the limit.
+/// A daemon that receives no reports admits its even share, so that all daemons together stay
+/// within the limit.
 #[rstest]
 fn limit_when_partitioned() {
     let id = OrganisationId::from("o");
@@ -265,7 +266,10 @@
         admitted += (0..50).filter(|_| limiter.admit(&id, 1.0, now).is_ok()).count();
     }
     let per_second = admitted as f64 / 10.0;
-    assert!((80.0..=125.0).contains(&per_second), "{per_second} a second, 100 are its part");
+    assert!(
+        (80.0..=125.0).contains(&per_second),
+        "{per_second} requests a second were admitted, the even share is 100"
+    );
 }
 
 #[rstest]
@@ -277,7 +281,7 @@
     assert!(tickets.iter().all(Result::is_ok));
     assert_eq!(limiter.admit(&id, 1.0, now).err(), Some(LimitRequestError::TooMany { limit: 2 }));
     drop(tickets);
-    assert!(limiter.admit(&id, 1.0, now).is_ok(), "a place is given back");
+    assert!(limiter.admit(&id, 1.0, now).is_ok(), "a slot is freed");
     let unknown = OrganisationId::from("x");
     assert_eq!(limiter.admit(&unknown, 1.0, now).err(), Some(LimitRequestError::Unknown));
 }
@@ -297,7 +301,8 @@
     assert!((sum[0].r - 57.0).abs() < 0.5, "{sum:?}");
 }
 
-/// Streams fill the door; urgent calls still get in, and a small organisation is not starved.
+/// Long streams fill the queue; urgent requests are still admitted, and a small organisation is not
+/// starved.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn enter_full_queue() {
@@ -306,7 +311,12 @@
     let far = Instant::now() + Duration::from_secs(100);
     let mut tickets = Vec::new();
     for _ in 0..18 {
-        tickets.push(queue.enter(Urgency::Normal, &large, 1, far).await.expect("there is room"));
+        tickets.push(
+            queue
+                .enter(Urgency::Normal, &large, 1, far)
+                .await
+                .expect("an upstream or slot is free"),
+        );
     }
     let mut waiting = Vec::new();
     for number in 0..30 {
@@ -321,9 +331,9 @@
     let late = tokio::spawn(async move { local.enter(Urgency::Normal, &small, 1, far).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     let urgent = queue.enter(Urgency::Urgent, &large, 1, far).await;
-    assert!(urgent.is_ok(), "an urgent call waits behind streams");
+    assert!(urgent.is_ok(), "an urgent request waits behind streams");
     drop(urgent);
-    // The small one came last and gets one of the first places all the same.
+    // The small organisation's request came last and still gets one of the first free slots.
     tickets.truncate(16);
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert!(late.is_finished(), "a large organisation starves a small one");
@@ -338,12 +348,13 @@
     let queue = AdmissionQueue::new(QueueLimits { slots: 1, waiting: 1 });
     let id = OrganisationId::from("o");
     let soon = Instant::now() + Duration::from_secs(1);
-    let tickets = queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("there is room");
+    let tickets =
+        queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("an upstream or slot is free");
     let passed = queue.enter(Urgency::Urgent, &id, 1, Instant::now()).await;
     assert_eq!(
         passed.err(),
         Some(ShedRequestError::DeadlinePassed),
-        "a dead request is not queued"
+        "a request past its deadline is not queued"
     );
     let waiter = {
         let (queue, id) = (queue.clone(), id.clone());
@@ -352,16 +363,16 @@
     tokio::time::sleep(Duration::from_millis(1)).await;
     let full = queue.enter(Urgency::Urgent, &id, 1, soon).await;
     assert!(matches!(full.err(), Some(ShedRequestError::QueueFull { .. })));
-    assert_eq!(waiter.await.expect("it ends"), Some(ShedRequestError::DeadlinePassed));
+    assert_eq!(waiter.await.expect("the task completes"), Some(ShedRequestError::DeadlinePassed));
     drop(tickets);
-    assert_eq!((queue.in_flight(), queue.waiting()), (0, 0), "nothing is leaked");
+    assert_eq!((queue.in_flight(), queue.waiting()), (0, 0), "no slot or waiter is leaked");
 }
 
 fn bounds(repeatable: bool, max_runs: u32, now: Instant) -> AttemptBounds {
     AttemptBounds { repeatable, max_runs, deadline: now + Duration::from_secs(4) }
 }
 
-/// Replays workers that fall silent one after the other.
+/// Workers stop answering one after the other.
 #[rstest]
 #[case::route_of_one(1, 1)]
 #[case::route_of_two(2, 2)]
@@ -383,7 +394,7 @@
     assert!(ledger.may_have_run());
 }
 
-/// A refusal after a silent worker says nothing of the silent one.
+/// A refusal after a worker that did not answer is no evidence that the first attempt did not run.
 #[rstest]
 #[case::repeatable(true, true)]
 #[case::once(false, false)]
@@ -401,7 +412,7 @@
     assert_eq!(ledger.may_repeat(&bounds, &refused, &budget, now), expected);
 }
 
-/// A worker is given up only where another attempt may follow.
+/// A worker is given up only if another attempt may follow.
 #[rstest]
 #[case::first_of_two(true, 2, 1, false)]
 #[case::second_of_two(true, 2, 2, true)]
@@ -424,7 +435,7 @@
     assert_eq!(ledger.is_last(&bounds(repeatable, max_runs, now)), expected);
 }
 
-/// What was taken from the budget before a worker was given up is not taken twice.
+/// A retry that was charged to the budget before a worker was given up is not charged twice.
 #[rstest]
 fn repeat_budgeted_before() {
     let now = Instant::now();
--- a/crates/routing/tests/limit_table.rs
+++ b/crates/routing/tests/limit_table.rs
@@ -1,4 +1,4 @@
-//! Limits that upstreams name, and which of their words holds.
+//! Tests of the limits that upstreams state, and of which notice applies.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// A word: when its request was sent, when the head came, in milliseconds, and the limit.
+/// A notice: when its request was sent and when the head was received, in milliseconds, and the
+/// limit.
 type Notice = (u64, u64, Option<u64>);
 
 fn to_notice(start: Instant, (sent, came, limit): Notice) -> LimitNotice {
@@ -26,13 +27,13 @@
 #[case::raised(&[(0, 10, Some(2000)), (11, 20, Some(5000))], Some(5000))]
 #[case::lowered(&[(0, 10, Some(2000)), (11, 20, Some(1000))], Some(1000))]
 #[case::nothing_allowed(&[(0, 10, Some(2000)), (11, 20, Some(0))], Some(0))]
-// The answer without a limit may have been written before the one that names it.
+// The answer without a limit may have been written before the one that states it.
 #[case::ended_by_older_answer(&[(5, 10, Some(2000)), (0, 20, None)], Some(2000))]
 #[case::raised_by_older_answer(&[(5, 10, Some(2000)), (0, 20, Some(5000))], Some(2000))]
 #[case::lowered_by_older_answer(&[(5, 10, Some(2000)), (0, 20, Some(1000))], Some(1000))]
 #[case::named_by_older_answer(&[(5, 10, Some(2000)), (10, 12, None), (0, 20, Some(1000))], Some(1000))]
 #[case::ended_once_certain(&[(5, 10, Some(2000)), (0, 20, None), (10, 30, None)], None)]
-// Told by another daemon, a word may be older although it comes later.
+// A notice from another daemon may be older although it arrives later.
 #[case::certainly_older(&[(20, 30, Some(5000)), (0, 10, Some(1000))], Some(5000))]
 #[case::certainly_older_than_end(&[(0, 5, Some(1000)), (20, 30, None), (6, 10, Some(1000))], None)]
 #[case::confirmed_since(&[(0, 10, Some(2000)), (5, 30, Some(2000)), (20, 40, None)], Some(2000))]
@@ -43,7 +44,7 @@
         table.record(&"a", to_notice(start, *notice));
     }
     assert_eq!(table.limit(&"a").map(|rate| *rate), expected);
-    assert_eq!(table.limit(&"b"), None, "it has named nothing");
+    assert_eq!(table.limit(&"b"), None, "b has stated no limit");
 }
 
 #[rstest]
@@ -53,13 +54,13 @@
     let mut record = |notice: Notice| table.record(&"a", to_notice(start, notice));
     assert!(!record((0, 10, None)), "there was no limit");
     assert!(record((10, 20, Some(1800))));
-    assert!(!record((20, 30, Some(1800))), "it is known");
+    assert!(!record((20, 30, Some(1800))), "the limit is unchanged");
     assert!(record((30, 40, Some(900))));
     assert!(record((40, 50, None)));
-    assert!(!record((50, 60, None)), "it is known");
+    assert!(!record((50, 60, None)), "the limit is unchanged");
 }
 
-/// What is kept is bounded by the upstreams that are known.
+/// The size of the table is bounded by the number of known upstreams.
 #[rstest]
 fn prune_removes_unknown() {
     let start = Instant::now();
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits as daemons hear them, and what their leader makes of that.
+//! Tests of limits as daemons record them and as the leader publishes them.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
     start + Duration::from_millis(ms)
 }
 
-/// A word in the answer to a request that was sent 10 ms before.
+/// Returns a notice in the answer to a request that was sent 10 ms before.
 fn notice(start: Instant, came_ms: u64, limit: Option<RequestRate>) -> LimitNotice {
     let span = NoticeInterval { sent: after(start, came_ms - 10), came: after(start, came_ms) };
     LimitNotice { limit, span }
 }
 
-/// What a leader tells of a word whose answer came so long ago.
+/// Returns what a leader publishes of a notice whose answer was received `came_ms` ago.
 fn published(came_ms: u32, limit: Option<RequestRate>) -> Vec<UpstreamLimit> {
     vec![UpstreamLimit { upstream: "a".to_owned(), limit, sent_ms: came_ms + 10, came_ms }]
 }
@@ -45,10 +45,10 @@
     assert!(limits.without_permit(DAEMONS, after(start, 100)).contains("a"));
     assert!(limits.record_notice("a", notice(start, 200, None)));
     assert!(limits.without_permit(DAEMONS, after(start, 200)).is_empty());
-    assert!(limits.take("a", after(start, 200)).is_none(), "none is needed");
+    assert!(limits.take("a", after(start, 200)).is_none(), "no permit is needed");
 }
 
-/// What others heard counts unless this daemon's own word may be as new.
+/// The published limit applies unless the daemon's own notice may be as new.
 #[rstest]
 #[case::only_others(None, 50, NAMED, NAMED)]
 #[case::local_older(Some((100, None)), 50, NAMED, NAMED)]
@@ -71,7 +71,7 @@
     assert_eq!(limits.limit("a"), expected);
 }
 
-/// A daemon that knows of a limit from others only hears by itself that it has ended.
+/// A daemon that knows a limit only from the leader can observe its end by itself.
 #[rstest]
 fn published_limit_ends_locally() {
     let start = Instant::now();
@@ -79,11 +79,11 @@
     limits.record_published(&published(50, NAMED), after(start, 1000));
     assert!(limits.record_notice("a", notice(start, 1500, None)));
     assert_eq!(limits.limit("a"), None);
-    let ask = limits.due(after(start, 1500)).expect("others do not know");
+    let ask = limits.due(after(start, 1500)).expect("the leader does not know of the end");
     assert_eq!(ask.limits, published(0, None));
 }
 
-/// A new leader hears of limits within moments, so that what a former one told is kept as long.
+/// A new leader learns limits within a short time, for which limits of the previous one are kept.
 #[rstest]
 #[case::kept(2999, NAMED)]
 #[case::forgotten(3000, None)]
@@ -102,8 +102,8 @@
     limits.record_notice("a", notice(start, 100, NAMED));
     let ask = PermitAsk { limits: published(0, NAMED), needs: Vec::new() };
     assert_eq!(limits.due(after(start, 100)), Some(ask));
-    assert_eq!(limits.due(after(start, 349)), None, "it may be on its way");
-    assert!(limits.due(after(start, 350)).is_some(), "the leader does not tell it");
+    assert_eq!(limits.due(after(start, 349)), None, "the report may still be in delivery");
+    assert!(limits.due(after(start, 350)).is_some(), "the leader has not published the limit");
     limits.record_published(&published(400, NAMED), after(start, 500));
     assert_eq!(limits.due(after(start, 1000)), None);
 }
@@ -115,7 +115,7 @@
     let mut limits = UpstreamLimits::new(1);
     limits.record_notice("a", notice(start, 100, NAMED));
     assert!(limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 100)));
-    let ask = limits.due(after(start, 100)).expect("it wants something");
+    let ask = limits.due(after(start, 100)).expect("a message is due");
     let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
     assert_eq!(answer.changed, vec![("a".to_owned(), NAMED)]);
     let grant = &answer.grants[&daemon("x")];
@@ -124,7 +124,7 @@
     limits.record_grant(grant, after(start, 100));
     assert!(!limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 100)));
     assert!(limits.record_need_of_any(&["a".to_owned()], WAIT_TIMEOUT, false, after(start, 590)));
-    let ask = limits.due(after(start, 590)).expect("it wants something");
+    let ask = limits.due(after(start, 590)).expect("a message is due");
     assert!(coordinator.handle_ask(&daemon("x"), &ask, after(start, 590)).changed.is_empty());
     let grants = coordinator.issue(after(start, 600));
     limits.record_grant(&grants[&daemon("x")], after(start, 600));
@@ -132,7 +132,7 @@
     assert!(limits.take("a", after(start, 600)).is_some());
 }
 
-/// What a former leader issued may just have been used.
+/// The permits that the previous leader issued may just have been used.
 #[rstest]
 fn coordinator_starts_empty() {
     let start = Instant::now();
@@ -140,12 +140,12 @@
     let ask = PermitAsk { limits: published(0, NAMED), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask, start);
     coordinator.enter(Term(1));
-    assert_eq!(coordinator.published_limits(start).len(), 1, "it is the same term");
+    assert_eq!(coordinator.published_limits(start).len(), 1, "the term is the same");
     coordinator.enter(Term(2));
     assert!(coordinator.published_limits(start).is_empty());
 }
 
-/// The end of a limit is told on for a while.
+/// The end of a limit is published for a while.
 #[rstest]
 #[case::published(9_999, 1)]
 #[case::over(10_500, 0)]
@@ -154,7 +154,7 @@
     let mut coordinator = coordinator();
     let ask = |limit| PermitAsk { limits: published(0, limit), needs: Vec::new() };
     coordinator.handle_ask(&daemon("x"), &ask(NAMED), start);
-    // Later by more than words may be late.
+    // The delay exceeds the maximum delivery time.
     let answer = coordinator.handle_ask(&daemon("y"), &ask(None), after(start, 500));
     assert_eq!(answer.changed, vec![("a".to_owned(), None)]);
     assert_eq!(coordinator.published_limits(after(start, ms)).len(), expected);
@@ -170,7 +170,7 @@
     assert!(coordinator.published_limits(start).is_empty());
 }
 
-/// All daemons are told at once of what changes, and of the rest about once a second.
+/// Changed limits are published at once, and the others about once a second.
 #[rstest]
 fn coordinator_publishes_periodically() {
     let start = Instant::now();
@@ -182,10 +182,10 @@
     assert!(coordinator.due_limits(after(start, 899)).is_empty());
     assert_eq!(coordinator.due_limits(after(start, 900)).len(), 1);
     coordinator.handle_ask(&daemon("x"), &ask(None), after(start, 1000));
-    assert_eq!(coordinator.due_limits(after(start, 1000)).len(), 1, "it has changed");
+    assert_eq!(coordinator.due_limits(after(start, 1000)).len(), 1, "the limit has changed");
 }
 
-/// What the leader said of the next permit under a lower limit does not hold for a higher one.
+/// The wait that the leader stated under a lower limit must not apply after the limit has risen.
 #[rstest]
 fn need_noted_after_rise() {
     let start = Instant::now();
@@ -194,7 +194,7 @@
     let mut limits = UpstreamLimits::new(1);
     limits.record_notice("a", notice(start, 100, Some(RequestRate(0))));
     assert!(limits.record_need_of_any(&upstreams, WAIT_TIMEOUT, false, after(start, 100)));
-    let ask = limits.due(after(start, 100)).expect("it wants something");
+    let ask = limits.due(after(start, 100)).expect("a message is due");
     let answer = coordinator.handle_ask(&daemon("x"), &ask, after(start, 100));
     limits.record_grant(&answer.grants[&daemon("x")], after(start, 100));
     assert!(limits.record_notice("a", notice(start, 1000, Some(RequestRate(50_000)))));
--- a/crates/routing/tests/permits.rs
+++ b/crates/routing/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for upstreams that have named limits.
+//! Tests of permits for upstreams that have stated limits.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     issuer
 }
 
-/// Half a second makes one permit, and no more than two are saved up.
+/// Half a second yields one permit, and at most two are saved up.
 #[rstest]
 #[case::at_first(0, 0)]
 #[case::just_before(499, 0)]
@@ -48,7 +48,7 @@
     assert_eq!(issued, expected);
 }
 
-/// The one whose request waits for the shortest time is served first.
+/// The need that expires first is served first.
 #[rstest]
 fn issue_earliest_expiring_need() {
     let start = Instant::now();
@@ -65,7 +65,7 @@
     let start = Instant::now();
     let mut issuer = issuer(start);
     issuer.record_need(&daemon("x"), &need(1, WAIT_TIMEOUT, 0), after(start, 400));
-    assert_eq!(issuer.issue(after(start, 500)), Vec::new(), "the request has gone");
+    assert_eq!(issuer.issue(after(start, 500)), Vec::new(), "the need has expired");
 }
 
 #[rstest]
@@ -112,18 +112,18 @@
     let now = Instant::now();
     let mut holder = PermitHolder::new(1);
     assert!(!has_permit(&mut holder, now));
-    assert!(holder.record_need("a", WAIT_TIMEOUT, now), "it may come");
+    assert!(holder.record_need("a", WAIT_TIMEOUT, now), "a permit may arrive");
     assert_eq!(holder.due(now), vec![need(1, WAIT_TIMEOUT, 0)]);
-    assert_eq!(holder.due(now), Vec::new(), "the issuer knows");
+    assert_eq!(holder.due(now), Vec::new(), "the need was already sent");
     holder.record_issued("a", 1, now);
     assert!(has_permit(&mut holder, now));
-    let permit = holder.take("a", now).expect("one was issued");
-    assert!(holder.take("a", now).is_none(), "it is used");
+    let permit = holder.take("a", now).expect("one permit was issued");
+    assert!(holder.take("a", now).is_none(), "the permit was taken");
     holder.give_back("a", permit);
-    assert!(holder.take("a", now).is_some(), "the request did not go");
+    assert!(holder.take("a", now).is_some(), "the permit was given back");
 }
 
-/// A permit is of use for as long as its request waits, and goes back afterwards.
+/// A permit is usable for as long as its request waits, and is then returned.
 #[rstest]
 #[case::unused(99, true, 0)]
 #[case::ran_out(100, false, 1)]
@@ -149,20 +149,20 @@
     assert_eq!(holder.due(after(start, 100)), vec![need(0, Duration::ZERO, 1)]);
 }
 
-/// Nothing is asked for that cannot come in time.
+/// Permits that cannot arrive in time are not requested.
 #[rstest]
 fn holder_drops_unfulfillable_needs() {
     let start = Instant::now();
     let mut holder = PermitHolder::new(1);
     holder.record_need("a", WAIT_TIMEOUT, start);
     holder.record_wait("a", Duration::from_millis(400), start);
-    assert_eq!(holder.count_needs("a", start), 0, "it cannot be fulfilled");
+    assert_eq!(holder.count_needs("a", start), 0, "the need cannot be fulfilled");
     assert!(!holder.record_need("a", WAIT_TIMEOUT, after(start, 299)));
     assert_eq!(holder.wait("a", after(start, 299)), Duration::from_millis(101));
     assert!(holder.record_need("a", WAIT_TIMEOUT, after(start, 300)));
 }
 
-/// What was issued under a higher limit is not all used under a lower one.
+/// Permits that were issued under a higher limit must not all be used under a lower one.
 #[rstest]
 fn holder_keeps_one_after_decrease() {
     let now = Instant::now();
@@ -174,7 +174,7 @@
     assert!(holder.take("a", now).is_none());
 }
 
-/// Permits a second that a daemon gives itself, as a part of the limit.
+/// Returns the rate at which a daemon issues permits to itself, as a fraction of the limit.
 fn self_issued_share(holder: &mut PermitHolder, start: Instant) -> f64 {
     let steps = 400_000;
     let taken = (0..steps).filter(|step| {
@@ -185,7 +185,7 @@
     taken.count() as f64 / seconds / (*LIMIT as f64 / 1000.0)
 }
 
-/// Where nobody issues permits, all daemons together use less than half of the limit, each its part.
+/// Without an issuer, all daemons together use less than half of the limit, in equal shares.
 #[rstest]
 fn holder_self_issues_without_issuer() {
     let start = Instant::now();
@@ -197,5 +197,5 @@
     assert!((0.3..0.5).contains(&part), "{part}");
     let end = after(start, 5_000_000);
     holder.record_wait("a", Duration::ZERO, end);
-    assert_eq!(self_issued_share(&mut holder, end), 0.0, "somebody issues");
+    assert_eq!(self_issued_share(&mut holder, end), 0.0, "the issuer answers");
 }
--- a/crates/routing/tests/permits_simulation.rs
+++ b/crates/routing/tests/permits_simulation.rs
@@ -1,8 +1,8 @@
-//! Replays of many daemons that share upstreams with limits.
+//! Simulates many daemons that share upstreams with limits.
 //!
-//! Messages take time, daemons start again, leaders change and are away. Whatever comes, no
-//! upstream gets more in 4 s than one and a half times its limit and 5 requests, and where callers
-//! want more than that, most of the limit is used.
+//! Messages are delayed, daemons restart, and leaders change or are absent. Under all of these, no
+//! upstream receives more requests in 4 s than one and a half times its limit plus 5, and if
+//! callers demand more than that, most of the limit is used.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -15,49 +15,50 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Length of a replay and of its windows, in milliseconds.
+/// Length of a simulation and of its windows, in milliseconds.
 const LENGTH_MS: u64 = 12_000;
 const WINDOW_MS: u64 = 4_000;
-/// When requests begin: daemons have heard of the limits.
+/// When requests start; daemons know the limits by then.
 const FIRST_MS: u64 = 500;
-/// Bounds of the time that a message takes.
+/// Bounds of the delivery time of a message.
 const MESSAGE_MS: (u64, u64) = (2, 40);
-/// Pause between two steps of the leader, and steps for each time that it tells all daemons.
+/// Interval between two steps of the leader, and number of steps between two publications to all
+/// daemons.
 const STEP_MS: u64 = 50;
 const STEPS_OF_VIEW: u64 = 2;
 /// Time for which a request waits for a permit.
 const WAIT_TIMEOUT_MS: u64 = 100;
-/// Upstreams that all requests can go to.
+/// Number of upstreams, each of which can serve every request.
 const UPSTREAMS: usize = 3;
 
-/// How requests reach daemons.
+/// Distribution of requests over daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Skew {
     Even,
     AllAtOne,
-    /// Half of the requests at a tenth of the daemons.
+    /// Half of the requests arrive at a tenth of the daemons.
     Uneven,
 }
 
-/// What disturbs the daemons.
+/// Faults of the daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Churn {
     None,
-    /// A daemon starts again each 200 ms and knows nothing of limits and permits.
+    /// A daemon restarts every 200 ms without knowledge of limits and permits.
     Daemons,
-    /// A leader is away each 6 s for 2 s, and the next one knows nothing.
+    /// The leader is absent for 2 s in every 6 s, and the next one starts without knowledge.
     Leaders,
-    /// The leader hears half of the daemons only.
+    /// The leader is partitioned from half of the daemons.
     Halved,
 }
 
-/// What is replayed.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     daemons: usize,
-    /// Requests a second that each upstream takes.
+    /// Requests a second that each upstream accepts.
     limit: f64,
-    /// Requests a second that callers want, as a multiple of what all upstreams take.
+    /// Requests a second that callers send, as a multiple of what all upstreams accept.
     demand: f64,
     skew: Skew,
     churn: Churn,
@@ -77,7 +78,7 @@
     NewLeader,
 }
 
-/// An event and when it comes.
+/// An event and its time.
 #[derive(Debug, PartialEq, Eq)]
 struct Due {
     ms: u64,
@@ -104,7 +105,7 @@
     queue: BinaryHeap<Reverse<Due>>,
     events: u64,
     limits: Vec<UpstreamLimits>,
-    /// Until when requests wait for a permit at each daemon.
+    /// Until when requests wait for a permit, by daemon.
     waiting: Vec<VecDeque<u64>>,
     leads: bool,
     term: Term,
@@ -130,7 +131,7 @@
             refused: 0,
         };
         replay.coordinator.enter(replay.term);
-        // Somebody has heard of each limit.
+        // One daemon has received a notice of each limit.
         (0..UPSTREAMS).for_each(|upstream| {
             replay.push(0, Event::Answer { daemon: 0, upstream, sent_ms: 0 });
         });
@@ -226,7 +227,7 @@
         }
     }
 
-    /// What the leader and the daemons do from time to time.
+    /// Runs the periodic work of the leader and the daemons.
     fn step(&mut self, number: u64, ms: u64) {
         let now = self.at(ms);
         if self.leads {
@@ -246,12 +247,12 @@
 
     fn send_grants(&mut self, grants: impl Iterator<Item = (DaemonId, PermitGrant)>, ms: u64) {
         for (daemon, grant) in grants {
-            let daemon = daemon.parse().expect("it is a number");
+            let daemon = daemon.parse().expect("daemon names are numbers");
             self.send(ms, Event::Grant { daemon, grant });
         }
     }
 
-    /// Whether a daemon and the leader hear each other.
+    /// Returns whether a daemon and the leader can reach each other.
     fn is_connected(&self, daemon: usize) -> bool {
         self.load.churn != Churn::Halved || daemon.is_multiple_of(2)
     }
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Sends a request if it needs no permit or one is there.
+    /// Sends a request if it needs no permit or one is available.
     fn try_send(&mut self, daemon: usize, ms: u64) -> bool {
         let (now, daemons) = (self.at(ms), self.load.daemons as u32);
         let first = self.rng.random_range(0..UPSTREAMS);
@@ -286,8 +287,12 @@
         };
         let limited = limits.limit(name_of(upstream)).is_some();
         let taken = limits.take(name_of(upstream), now);
-        assert_eq!(taken.is_some(), limited, "a permit is taken where one is needed");
-        // What a daemon sends that has not heard of the limit does not count.
+        assert_eq!(
+            taken.is_some(),
+            limited,
+            "a permit is taken if and only if the upstream is limited"
+        );
+        // Requests of a daemon that does not know the limit yet are not counted.
         if limited {
             self.arrivals[upstream].push(ms);
         }
@@ -295,7 +300,7 @@
         true
     }
 
-    /// Has a request wait for a permit, unless none can come.
+    /// Makes a request wait for a permit, unless none can arrive in time.
     fn wait_for_permit(&mut self, daemon: usize, ms: u64) {
         let now = self.at(ms);
         let timeout = Duration::from_millis(WAIT_TIMEOUT_MS);
@@ -315,7 +320,7 @@
         self.refused += 1;
     }
 
-    /// Has requests whose needs were dropped need other permits, or refuses them.
+    /// Records new needs for requests whose needs were dropped, or refuses the requests.
     fn renew_needs(&mut self, daemon: usize, ms: u64) {
         let now = self.at(ms);
         for end in self.waiting[daemon].clone() {
@@ -327,7 +332,7 @@
         self.report(daemon, ms);
     }
 
-    /// Most requests that an upstream got in a window.
+    /// Returns the maximum number of requests that an upstream received in a window.
     fn most_in_window(&self) -> usize {
         let most_of = |arrivals: &Vec<u64>| {
             let windows = arrivals.iter().enumerate().map(|(index, end)| {
@@ -343,7 +348,7 @@
         self.arrivals.iter().map(Vec::len).sum::<usize>() as f64
     }
 
-    /// Part of what the limits allow that was used.
+    /// Returns the fraction of the limits that was used.
     fn used(&self) -> f64 {
         let time = (LENGTH_MS - FIRST_MS) as f64 / 1000.0;
         self.served() / (self.load.limit * UPSTREAMS as f64 * time)
@@ -366,7 +371,7 @@
     (0..UPSTREAMS).map(|upstream| name_of(upstream).to_owned()).collect()
 }
 
-/// Requests that an upstream may get in a window.
+/// Returns the number of requests that an upstream may receive in a window.
 fn allowed(limit: f64) -> usize {
     (limit * 6.0 + 5.0).round() as usize
 }
@@ -381,11 +386,14 @@
     for (seed, demand) in [(1, 0.7), (2, 4.0)] {
         let load = Load { daemons, limit, demand, skew, churn };
         let most = Replay::new(load, seed).run().most_in_window();
-        assert!(most <= allowed(limit), "{most} in 4 s, seed {seed}: {load:?}");
+        assert!(
+            most <= allowed(limit),
+            "an upstream received {most} requests in 4 s, seed {seed}: {load:?}"
+        );
     }
 }
 
-/// Callers want three times what is allowed; that is used, wherever they are.
+/// Callers demand three times the limit, which is used wherever they are.
 #[rstest]
 fn limits_used(
     #[values(1, 8, 67, 410)] daemons: usize,
@@ -398,7 +406,7 @@
     assert!(used > 0.8, "{used} of the limits is used: {load:?}");
 }
 
-/// Callers want less than is allowed, and are served with little refusal.
+/// Callers demand less than the limit, and few of them are refused.
 #[rstest]
 fn demand_within_limits_served(
     #[values(8, 67)] daemons: usize,
--- a/crates/routing/tests/probes.rs
+++ b/crates/routing/tests/probes.rs
@@ -1,4 +1,4 @@
-//! Who sends a request once more whose hold is over.
+//! Tests of which daemons may send a probe request after a quarantine has expired.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const REQUEST: RequestDigest = RequestDigest(7);
 
-/// Daemons that may try in each of some windows.
+/// Returns the number of daemons that may send a probe request in each of 2000 windows.
 fn probing(daemons: u32, expired_for: Duration) -> Vec<usize> {
     let windows = 0..2000;
     let count = |window| {
@@ -19,7 +19,7 @@
     windows.map(count).collect()
 }
 
-/// Copies come to all daemons at once: hardly ever do more than three go.
+/// Duplicates arrive at all daemons at once: more than three are rarely sent.
 #[rstest]
 #[case::few(3)]
 #[case::site_of_today(9)]
@@ -33,7 +33,8 @@
     assert!(many * 200 < probing.len(), "more than three try in {many} of {}", probing.len());
 }
 
-/// A rare request is not held for good: after a while every daemon may try.
+/// A rare request is not blocked permanently: after some time every daemon may send a probe
+/// request.
 #[rstest]
 #[case::alone(1, 0)]
 #[case::few(3, 15)]
