--- a/crates/routing/src/burst.rs
+++ b/crates/routing/src/burst.rs
@@ -1,16 +1,18 @@
-//! Tells a burst of a request that ends upstreams from a loss of upstreams that it only met.
+//! Distinguishes a burst of a request that crashes upstreams from a loss of upstreams that
+//! interrupted a harmless request.
 //!
-//! Load pattern: many copies of such a request come together and are sent before the first of them
-//! has ended its upstream. Forty copies took ten of ten upstreams down at once, and again each time
-//! that they came, since all ends of one moment were taken for one event, as a lost rack is.
+//! Load pattern: many duplicates of a request that crashes upstreams arrive together and are sent
+//! before the first of them has crashed its upstream. When all terminations of one moment were
+//! taken for one event, such as the loss of a rack, forty duplicates crashed ten of ten upstreams
+//! at once, and again each time that they arrived.
 //!
-//! What tells them apart: a request that ends upstreams was under way at those that ended and is
-//! answered by none; a loss also takes upstreams that were running something else, and of a
-//! request that many send alike some copies are answered elsewhere.
+//! The criterion: a request that crashes upstreams was in progress at those that terminated and is
+//! answered by none. A loss also takes upstreams that were running something else, and some
+//! duplicates of a request that many callers send are answered elsewhere.
 //!
-//! Trade-off: a request that was never answered before and runs nearly everywhere looks guilty when
-//! everything is lost. It is held for as long as upstreams take to come back, and its first answer
-//! clears it. `tests/crash_bursts.rs` has the rates of the ways that were weighed.
+//! Trade-off: a request that was never answered before and runs nearly everywhere is suspected when
+//! all upstreams are lost. It is quarantined for as long as upstreams take to restart, and its
+//! first answer clears it. `tests/crash_bursts.rs` prints the rates of the alternatives.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,79 +21,86 @@
 
 use crate::crashes::TerminatedRun;
 
-/// Upstreams that end under a request within one moment, from which on it is suspected. Two are
-/// often lost together, by chance or with their rack.
-const LEAST_ENDED: usize = 3;
-/// Time before and after an end that is one moment: copies that are sent together end their upstreams
-/// within it, unless these work on them for more than a second before. Two losses are further apart.
-const MOMENT: Duration = Duration::from_millis(300);
-/// Part of all upstreams that ended in that moment which had the request under way. More than one
-/// such request may come at once, and something else may be lost meanwhile.
-const LEAST_COVERED: f64 = 0.3;
-/// How many times further apart than their ends the lengths of runs are, where all were broken off
-/// by one event.
-const COMMON_END_PART: u32 = 2;
-/// Difference between the lengths of runs below which it says nothing: all were sent together.
-const LEAST_APART: Duration = Duration::from_millis(60);
-/// Most ends kept, about 40 KB; more than all upstreams that are lost within an hour in a fleet of
-/// the size that is planned for, a lost zone included.
-const MOST_ENDS: usize = 1024;
+/// Number of upstreams that must terminate under a request within one window for it to be
+/// suspected. Two are often lost together, by chance or with their rack.
+const MIN_TERMINATIONS: usize = 3;
+/// Time before and after a termination that belongs to the same burst. Duplicates that are sent
+/// together crash their upstreams within it, unless upstreams work on them for more than a second
+/// before. Two separate losses are further apart.
+const BURST_WINDOW: Duration = Duration::from_millis(300);
+/// Share of all upstreams that terminated within the window on which the request must have been in
+/// progress. More than one such request may arrive at once, and upstreams may be lost for other
+/// reasons in the same window.
+const MIN_COVERAGE: f64 = 0.3;
+/// Factor by which the spread of the run lengths exceeds the spread of the run ends if one event
+/// interrupted all runs.
+const LENGTH_SPREAD_RATIO: u32 = 2;
+/// Spread of the run lengths up to which it is no evidence, since all runs were sent together.
+const MIN_LENGTH_SPREAD: Duration = Duration::from_millis(60);
+/// Maximum number of terminations kept, about 40 KB. It exceeds the number of upstreams that are
+/// lost within an hour in a fleet of the planned size, including the loss of a zone.
+const MAX_TERMINATIONS: usize = 1024;
 
-/// When upstreams were seen to end, whatever was under way there.
+/// When upstreams were observed to terminate, whatever they were running.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct UpstreamEnds {
+pub(crate) struct UpstreamTerminations {
     at: HashMap<u64, Instant>,
 }
 
-impl UpstreamEnds {
-    /// Notes an end; the earliest time that was told counts.
+impl UpstreamTerminations {
+    /// Records a termination; the earliest reported time is kept.
     pub(crate) fn record(&mut self, upstream: u64, ended: Instant) {
         let at = self.at.entry(upstream).or_insert(ended);
         *at = ended.min(*at);
-        if self.at.len() > MOST_ENDS {
+        if self.at.len() > MAX_TERMINATIONS {
             let oldest = self.at.iter().min_by_key(|(_, at)| **at).map(|(upstream, _)| *upstream);
             oldest.map(|upstream| self.at.remove(&upstream));
         }
     }
 
-    /// Upstreams that ended within a span of time.
+    /// Counts the upstreams that terminated within a period.
     fn count(&self, from: Instant, to: Instant) -> usize {
         self.at.values().filter(|at| **at >= from && **at <= to).count()
     }
 
-    /// Forgets what does not count any more.
+    /// Removes terminations that are no longer recent.
     pub(crate) fn prune(&mut self, recent: impl Fn(Instant) -> bool) {
         self.at.retain(|_, at| recent(*at));
     }
 }
 
-/// When the first burst of a request was over, if it came in one; each run is at another upstream.
-pub(crate) fn find_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> Option<Instant> {
-    let moments = runs.iter().map(|run| runs_beside(runs, run.ended));
-    let bursts = moments.filter(|moment| is_burst(moment, ends));
+/// Returns the end of the first burst of a request, if it arrived in one; each run is on another
+/// upstream.
+pub(crate) fn find_burst(
+    runs: &[TerminatedRun],
+    terminations: &UpstreamTerminations,
+) -> Option<Instant> {
+    let windows = runs.iter().map(|run| runs_around(runs, run.ended));
+    let bursts = windows.filter(|window| is_burst(window, terminations));
     bursts.filter_map(|burst| burst.iter().map(|run| run.ended).max()).min()
 }
 
-/// Runs that ended at about this time.
-fn runs_beside(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
-    let apart = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
-    runs.iter().filter(|run| apart(run) <= MOMENT).copied().collect()
+/// Returns the runs that ended within the window around a time.
+fn runs_around(runs: &[TerminatedRun], at: Instant) -> Vec<TerminatedRun> {
+    let distance = |run: &TerminatedRun| run.ended.max(at) - run.ended.min(at);
+    runs.iter().filter(|run| distance(run) <= BURST_WINDOW).copied().collect()
 }
 
-fn is_burst(runs: &[TerminatedRun], ends: &UpstreamEnds) -> bool {
+fn is_burst(runs: &[TerminatedRun], terminations: &UpstreamTerminations) -> bool {
     let ended = runs.iter().map(|run| run.ended);
     let Some((first, last)) = ended.clone().min().zip(ended.max()) else { return false };
-    let covered = runs.len() as f64 >= ends.count(first, last) as f64 * LEAST_COVERED;
-    runs.len() >= LEAST_ENDED && covered && !is_common_end(runs)
+    let covered = runs.len() as f64 >= terminations.count(first, last) as f64 * MIN_COVERAGE;
+    runs.len() >= MIN_TERMINATIONS && covered && !is_common_cause(runs)
 }
 
-/// Whether runs ended together although they were sent apart, as what a loss breaks off. Under a
-/// request that ends upstreams they end as far apart as they were sent, or further.
-fn is_common_end(runs: &[TerminatedRun]) -> bool {
+/// Returns whether the runs ended together although they were sent apart, as runs that a loss
+/// interrupts. Runs of a request that crashes upstreams end at least as far apart as they were
+/// sent.
+fn is_common_cause(runs: &[TerminatedRun]) -> bool {
     let ends = runs.iter().map(|run| run.ended);
     let lengths = runs.iter().map(|run| run.ended.saturating_duration_since(run.sent));
-    let ends_apart = ends.clone().max().zip(ends.min()).map(|(last, first)| last - first);
-    let lengths_apart = lengths.clone().max().zip(lengths.min()).map(|(most, least)| most - least);
-    let (Some(ends), Some(lengths)) = (ends_apart, lengths_apart) else { return false };
-    lengths > LEAST_APART && ends * COMMON_END_PART < lengths
+    let end_spread = ends.clone().max().zip(ends.min()).map(|(last, first)| last - first);
+    let length_spread = lengths.clone().max().zip(lengths.min()).map(|(most, least)| most - least);
+    let (Some(end_spread), Some(length_spread)) = (end_spread, length_spread) else { return false };
+    length_spread > MIN_LENGTH_SPREAD && end_spread * LENGTH_SPREAD_RATIO < length_spread
 }
