--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -249,7 +249,7 @@
     /// Fails with the reason if no worker can take the request now.
     pub fn pick(&mut self, facts: &PickFacts<'_>, now: Instant) -> Result<PickedWorker, NoWorker> {
         self.candidates.refresh(&self.table);
-        let without_permit = self.limits.lacking(self.gateways(), now);
+        let without_permit = self.limits.without_permit(self.gateways(), now);
         let engine = facts.service.engine.as_ref();
         let picked = match engine.filter(|engine| !engine.models.is_empty()) {
             Some(engine) => self.pick_replica(facts, engine, &without_permit, now),
