--- a/crates/fleet/src/replicas/adopt.rs
+++ b/crates/fleet/src/replicas/adopt.rs
@@ -1,4 +1,4 @@
-//! Takes over replicas that a leader before formed, from what workers report.
+//! Adopts replicas that a former leader formed, from the workers' reports.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,22 @@
 use super::{ReplicaController, ReplicaPhase, StepView, WorkerStatus};
 use hollowbarrow_schema::{Epoch, MembershipState, WorkerId, WorkerReport};
 
-/// Members of one replica that this controller has not formed, by rank.
+/// Reported members, by rank, of a replica that this controller has not formed.
 #[derive(Default)]
 struct ReportedReplica<'a> {
     members: BTreeMap<u32, &'a WorkerReport>,
 }
 
 impl ReportedReplica<'_> {
-    fn is_whole(&self, size: usize) -> bool {
+    fn is_complete(&self, size: usize) -> bool {
         self.members.len() == size && self.members.keys().copied().eq(0..size as u32)
     }
 
-    /// How far the replica is, if all its members are there.
+    /// Returns the phase in which to adopt the replica, provided that all its members report it.
     ///
-    /// One that is not open yet is formed anew, under an epoch of this term: the leader before may
-    /// have ordered a member elsewhere, and that order may still come. The new epoch fences it.
+    /// A replica that is not open yet is disbanded and formed again under an epoch of this term:
+    /// the former leader may have ordered a member elsewhere, and that order may still arrive. The
+    /// new epoch fences it.
     fn phase(&self) -> ReplicaPhase {
         let state = |report: &&WorkerReport| report.membership.as_ref().map(|m| m.state);
         match self.members.get(&0).and_then(state) {
@@ -31,17 +32,17 @@
 }
 
 impl ReplicaController {
-    /// Adds the replicas that workers report and this controller does not know.
+    /// Adopts the replicas that workers report and this controller does not know.
     pub(super) fn adopt_reported(&mut self, view: &StepView<'_>) {
         let mut unknown: BTreeMap<Epoch, (ReplicaName, ReportedReplica<'_>)> = BTreeMap::new();
         for state in view.workers.values() {
             let Some(membership) = &state.report.membership else { continue };
             let Some(name) = ReplicaName::from_text(&membership.replica) else { continue };
-            let known = self.replicas.contains_key(&name.epoch)
+            let ignored = self.replicas.contains_key(&name.epoch)
                 || self.vacated.contains(&name.epoch)
                 || self.departed.get(&state.report.id) == Some(&name.epoch)
                 || state.status != WorkerStatus::Usable;
-            if known {
+            if ignored {
                 continue;
             }
             if name.kind == ReplicaKind::Standby {
@@ -65,19 +66,19 @@
 
     fn adopt(&mut self, name: ReplicaName, reported: &ReportedReplica<'_>, view: &StepView<'_>) {
         let model = view.engine.models.iter().find(|model| model.name == name.model);
-        let whole = model.is_some_and(|model| reported.is_whole(model.size));
-        // Without its head a replica needs nothing: its members leave it when they are needed.
+        let complete = model.is_some_and(|model| reported.is_complete(model.size));
+        // A replica without its head needs no order: its members leave when they are needed.
         let headed = reported.members.contains_key(&0);
-        if !whole && (view.now < self.times.settled || !headed) {
+        if !complete && (view.now < self.times.settled || !headed) {
             return;
         }
         let members: Vec<WorkerId> =
             reported.members.values().map(|report| report.id.clone()).collect();
         if members.iter().any(|member| !self.is_unassigned(member)) {
-            // A member was ordered elsewhere and has not said so yet.
+            // A member was ordered into another replica and has not reported that yet.
             return;
         }
-        let phase = if whole { reported.phase() } else { ReplicaPhase::Leaving };
+        let phase = if complete { reported.phase() } else { ReplicaPhase::Leaving };
         log::info!(
             "event=replica_adopted replica={} phase={phase:?} members={}",
             name.to_text(),
@@ -86,7 +87,7 @@
         for member in &members {
             self.standbys.remove(member);
         }
-        // The leader before may have told the head to serve.
+        // The former leader may have ordered the head to serve.
         self.insert(name, members, phase, true);
     }
 }
--- a/crates/fleet/src/replicas/demand.rs
+++ b/crates/fleet/src/replicas/demand.rs
@@ -1,4 +1,4 @@
-//! How many replicas of each model are wanted, by its share of the work and how busy it is.
+//! Computes the demand for replicas of each model from its share of the work and its utilisation.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,74 +10,77 @@
 use crate::engine::ModelSpec;
 use crate::placement::PlacementDemand;
 
-/// Weight of a model's given share against how busy its replicas are.
-const EVEN_USE: f64 = 0.5;
-/// Time over which the use of a model is averaged.
-const USE_TIME: Duration = Duration::from_secs(4);
-/// Use beyond which a model gets no more.
-const MOST_USE: f64 = 2.0;
+/// Constant added to a model's utilisation, so that its share counts also when it is idle.
+const BASE_UTILISATION: f64 = 0.5;
+/// Time constant of the moving average of a model's utilisation.
+const UTILISATION_TIME: Duration = Duration::from_secs(4);
+/// Utilisation above which a model's demand does not grow further.
+const MAX_UTILISATION: f64 = 2.0;
 
-/// How busy the replicas of each model are, averaged over time, so that no plan follows a
-/// moment's use.
+/// Moving average of the utilisation of each model's replicas, so that no plan follows a
+/// short-lived peak.
 #[derive(Debug)]
-pub(super) struct ModelUses {
-    uses: BTreeMap<ModelName, f64>,
-    /// When they were last averaged.
-    at: Instant,
+pub(super) struct ModelUtilisation {
+    utilisation: BTreeMap<ModelName, f64>,
+    /// When the averages were last updated.
+    updated: Instant,
 }
 
-impl ModelUses {
-    /// Creates uses that are averaged from a moment on.
+impl ModelUtilisation {
+    /// Creates an empty average that starts at `from`.
     pub(super) fn new(from: Instant) -> Self {
-        Self { uses: BTreeMap::new(), at: from }
+        Self { utilisation: BTreeMap::new(), updated: from }
     }
 
-    /// What is wanted of a model: its share, and more the busier its replicas are.
+    /// Returns the demand for a model: its share, weighted by the utilisation of its replicas.
     ///
-    /// Only what is planned next depends on it; no replica that stands is moved.
+    /// Only new replicas depend on it; existing replicas are not moved.
     pub(super) fn demand_of(&self, model: &ModelSpec) -> PlacementDemand {
-        let used = self.uses.get(&model.name).copied().unwrap_or_default().min(MOST_USE);
-        let share = model.share * (EVEN_USE + used);
+        let average =
+            self.utilisation.get(&model.name).copied().unwrap_or_default().min(MAX_UTILISATION);
+        let share = model.share * (BASE_UTILISATION + average);
         PlacementDemand { model: model.name.clone(), size: model.size, share }
     }
 
-    /// Averages what the uses are now in.
-    fn record(&mut self, uses: Vec<(ModelName, f64)>, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.at);
-        self.at = now;
-        let weight = 1.0 - (-elapsed.div_duration_f64(USE_TIME)).exp();
-        for (model, current) in uses {
-            let used = self.uses.entry(model).or_default();
-            *used += weight * (current - *used);
+    /// Updates the averages with the current utilisation of each model.
+    fn record(&mut self, utilisation: Vec<(ModelName, f64)>, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.updated);
+        self.updated = now;
+        let weight = 1.0 - (-elapsed.div_duration_f64(UTILISATION_TIME)).exp();
+        for (model, current) in utilisation {
+            let average = self.utilisation.entry(model).or_default();
+            *average += weight * (current - *average);
         }
     }
 }
 
 impl ReplicaController {
-    /// Takes in how busy the replicas of each model are now.
-    pub(super) fn record_uses(&mut self, view: &StepView<'_>) {
+    /// Records the current utilisation of each model's replicas.
+    pub(super) fn record_utilisation(&mut self, view: &StepView<'_>) {
         let models = view.engine.models.iter();
-        let uses = models.map(|model| (model.name.clone(), self.use_of(model, view))).collect();
-        self.uses.record(uses, view.now);
+        let utilisation =
+            models.map(|model| (model.name.clone(), self.utilisation_of(model, view))).collect();
+        self.utilisation.record(utilisation, view.now);
     }
 
-    /// How busy the replicas of a model are: the part of their places that is taken, and the part
-    /// of a pass that it takes to read the prompts that wait. Prompts that are read hold up all
-    /// other answers of a replica, also where places are free.
-    fn use_of(&self, model: &ModelSpec, view: &StepView<'_>) -> f64 {
+    /// Returns the utilisation of a model's replicas: the occupied share of their slots, plus the
+    /// time to process the waiting prompts as a multiple of a decoding iteration. Prompt
+    /// processing delays all other answers of a replica, even if it has free slots.
+    fn utilisation_of(&self, model: &ModelSpec, view: &StepView<'_>) -> f64 {
         let serving = self.replicas.values().filter(|replica| {
             replica.name.model == model.name && replica.phase == ReplicaPhase::Serving
         });
         let heads: Vec<&WorkerState<'_>> =
             serving.filter_map(|replica| view.workers.get(replica.head())).collect();
         if heads.is_empty() {
-            // What is refused shows nowhere: without a replica the model is as busy as can be.
-            return MOST_USE;
+            // Rejected requests are not counted anywhere, so a model without a replica gets the
+            // highest utilisation.
+            return MAX_UTILISATION;
         }
         let count = heads.len() as f64;
         let active = heads.iter().map(|head| f64::from(head.active)).sum::<f64>() / count;
         let waiting = heads.iter().map(|head| f64::from(head.waiting_ms)).sum::<f64>() / count;
-        let pass = view.engine.iteration_ms(model, active).max(f64::MIN_POSITIVE);
-        active / f64::from(view.engine.slots.max(1)) + waiting / pass
+        let iteration = view.engine.iteration_ms(model, active).max(f64::MIN_POSITIVE);
+        active / f64::from(view.engine.slots.max(1)) + waiting / iteration
     }
 }
--- a/crates/fleet/src/replicas/lifecycle.rs
+++ b/crates/fleet/src/replicas/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Moves each replica through its life, and orders what the next step needs.
+//! Advances each replica through its lifecycle and issues the orders that its phase needs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,17 @@
 use super::orders::{OrderTicket, WorkerOrder};
 use super::{Replica, ReplicaController, ReplicaPhase, StepView, WorkerStatus};
 
-/// What became of a replica in a step.
+/// Transition of a replica in one step.
 enum Transition {
     Stay,
     Move(ReplicaPhase),
     Release(&'static str),
-    /// The head has surely left, so that nothing of the replica can serve.
+    /// The head has certainly left, so that the replica can no longer serve.
     HeadLeft,
 }
 
 impl ReplicaController {
-    /// Moves replicas on as far as the reports allow.
+    /// Applies the phase transitions that the reports allow and prunes outdated entries.
     pub(super) fn advance_replicas(&mut self, view: &StepView<'_>) {
         let epochs: Vec<Epoch> = self.replicas.keys().copied().collect();
         for epoch in epochs {
@@ -36,11 +36,12 @@
             }
         }
         let workers = &view.workers;
-        for joins in self.uncertain.values_mut() {
+        for joins in self.unanswered_joins.values_mut() {
             joins.retain(|_, until| view.now < *until);
         }
         let names: BTreeSet<&str> = workers.keys().map(|worker| worker.name()).collect();
-        self.uncertain.retain(|name, joins| !joins.is_empty() && names.contains(name.as_str()));
+        self.unanswered_joins
+            .retain(|name, joins| !joins.is_empty() && names.contains(name.as_str()));
         self.orders.retain(|name| names.contains(name));
         self.departed.retain(|worker, _| workers.contains_key(worker));
     }
@@ -64,27 +65,29 @@
                 "event=replica_released replica={} reason={reason:?}",
                 replica.name.to_text()
             );
-            // A head that may yet join once more is not sure to have left for good.
-            let uncertain = self.may_still_join(replica.head(), epoch);
-            if !uncertain && (replica.head_left || !replica.opened) {
+            // A head that may still carry out a late join of this epoch has not left for good.
+            let may_rejoin = self.may_still_join(replica.head(), epoch);
+            if !may_rejoin && (replica.head_left || !replica.opened) {
                 self.vacated.insert(epoch);
             }
         }
     }
 
-    /// Whether an unanswered join of a worker may still be carried out under an epoch.
+    /// Returns whether an unanswered join of a worker may still be carried out under an epoch.
     pub(super) fn may_still_join(&self, worker: &WorkerId, epoch: Epoch) -> bool {
-        self.uncertain.get(worker.name()).is_some_and(|joins| joins.contains_key(&epoch))
+        self.unanswered_joins.get(worker.name()).is_some_and(|joins| joins.contains_key(&epoch))
     }
 
-    /// Whether a worker may find itself back in a replica that it has left, whose head may serve.
-    fn may_fall_back(&self, worker: &WorkerId, next: Epoch) -> bool {
-        let joins = self.uncertain.get(worker.name()).into_iter().flat_map(BTreeMap::keys);
+    /// Returns whether a late join may put a worker back into a replica that it has left and whose
+    /// head may still serve.
+    fn may_rejoin_former(&self, worker: &WorkerId, next: Epoch) -> bool {
+        let joins = self.unanswered_joins.get(worker.name()).into_iter().flat_map(BTreeMap::keys);
         joins.into_iter().any(|epoch| *epoch != next && !self.vacated.contains(epoch))
     }
 
-    /// A member has seen a newer epoch: the members are planned anew under a higher one.
-    pub(super) fn give_up_forming(&mut self, epoch: Epoch) {
+    /// Releases a forming replica of which a member has seen a newer epoch. Its members are
+    /// planned again under a higher epoch.
+    pub(super) fn abandon_forming(&mut self, epoch: Epoch) {
         let forming = self.replicas.get(&epoch).is_some_and(|replica| !replica.opened);
         if forming {
             self.release(epoch, "a member has seen a newer epoch");
@@ -93,9 +96,9 @@
 
     fn next_phase(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
         match replica.phase {
-            ReplicaPhase::Forming => self.next_of_forming(replica, view),
-            ReplicaPhase::Opening => next_of_opening(replica, view),
-            ReplicaPhase::Serving => self.next_of_serving(replica, view),
+            ReplicaPhase::Forming => self.after_forming(replica, view),
+            ReplicaPhase::Opening => after_opening(replica, view),
+            ReplicaPhase::Serving => self.after_serving(replica, view),
             ReplicaPhase::Closing { until } => {
                 let ended = head_state(replica, view) != Some(MembershipState::Closing)
                     && head_state(replica, view) != Some(MembershipState::Open);
@@ -105,12 +108,12 @@
                     Transition::Stay
                 }
             }
-            ReplicaPhase::Leaving => next_of_leaving(replica, view),
+            ReplicaPhase::Leaving => after_leaving(replica, view),
         }
     }
 
-    fn next_of_forming(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
-        if worst_standing(replica, view) != WorkerStatus::Usable {
+    fn after_forming(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
+        if worst_status(replica, view) != WorkerStatus::Usable {
             return if replica.opened {
                 Transition::Move(ReplicaPhase::Leaving)
             } else {
@@ -128,14 +131,14 @@
         }
     }
 
-    fn next_of_serving(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
-        let own = |member: &WorkerId| {
+    fn after_serving(&self, replica: &Replica, view: &StepView<'_>) -> Transition {
+        let is_member = |member: &WorkerId| {
             view.report(member).is_some_and(|report| replica.state_in(report).is_some())
         };
         let serves = head_state(replica, view) == Some(MembershipState::Open);
-        match worst_standing(replica, view) {
+        match worst_status(replica, view) {
             _ if !serves => Transition::Move(ReplicaPhase::Leaving),
-            WorkerStatus::Usable if replica.members.iter().all(own) => Transition::Stay,
+            WorkerStatus::Usable if replica.members.iter().all(is_member) => Transition::Stay,
             WorkerStatus::Leaving => Transition::Move(ReplicaPhase::Closing {
                 until: view.now + self.timing.close_timeout,
             }),
@@ -143,7 +146,7 @@
         }
     }
 
-    /// Orders what each replica needs next.
+    /// Issues the orders that each replica needs in its phase.
     pub(super) fn order_replicas(
         &mut self,
         view: &StepView<'_>,
@@ -158,16 +161,16 @@
             match replica.phase {
                 ReplicaPhase::Forming => self.order_joins(&replica, view, warming_up, tickets),
                 ReplicaPhase::Opening => {
-                    self.give(&head, WorkerOrder::Open { name: name() }, view, tickets);
+                    self.issue(&head, WorkerOrder::Open { name: name() }, view, tickets);
                 }
                 ReplicaPhase::Serving => {}
                 ReplicaPhase::Closing { .. } => {
                     if head_state(&replica, view) == Some(MembershipState::Open) {
-                        self.give(&head, WorkerOrder::Close { name: name() }, view, tickets);
+                        self.issue(&head, WorkerOrder::Close { name: name() }, view, tickets);
                     }
                 }
                 ReplicaPhase::Leaving => {
-                    self.give(&head, WorkerOrder::Leave { name: name() }, view, tickets);
+                    self.issue(&head, WorkerOrder::Leave { name: name() }, view, tickets);
                 }
             }
         }
@@ -192,13 +195,13 @@
             }
             let model = &replica.name.model;
             if self.may_join(report, &order, model, view, warming_up) {
-                self.give(member, order.clone(), view, tickets);
+                self.issue(member, order.clone(), view, tickets);
             }
         }
     }
 
-    /// Has a worker leave the replica that it reports, unless that one cannot serve any more; true
-    /// where it must leave before it joins another.
+    /// Orders a worker to leave the replica that it reports, unless that replica can no longer
+    /// serve. Returns whether the worker must leave before it joins another replica.
     pub(super) fn leave_former(
         &mut self,
         report: &WorkerReport,
@@ -214,11 +217,11 @@
         if departed || self.vacated.contains(&name.epoch) {
             return false;
         }
-        self.give(&report.id, WorkerOrder::Leave { name }, view, tickets);
+        self.issue(&report.id, WorkerOrder::Leave { name }, view, tickets);
         true
     }
 
-    /// Whether a join may go out now; counts the load that it begins.
+    /// Returns whether a join may be sent now, and counts the load that it starts.
     pub(super) fn may_join(
         &mut self,
         report: &WorkerReport,
@@ -228,24 +231,25 @@
         warming_up: bool,
     ) -> bool {
         let next = order.name().epoch;
-        if !self.orders.may_give(&report.id, order, view.now)
-            || self.may_fall_back(&report.id, next)
+        if !self.orders.may_send(&report.id, order, view.now)
+            || self.may_rejoin_former(&report.id, next)
         {
             return false;
         }
         let held = report.model.as_ref() == Some(model) || report.staged.contains(model);
-        // A join that is given again begins no second load.
-        if held || self.orders.was_given(&report.id, order) {
+        // A join that is sent again starts no second load.
+        if held || self.orders.was_sent(&report.id, order) {
             return true;
         }
         self.take_load(model, view, warming_up)
     }
 
-    /// Counts a load that is about to begin; false where it must wait.
+    /// Counts a load that is about to start; returns false if it must wait.
     ///
-    /// Before the first request loads neither count nor slow each other. Held to twelve at once, 48
-    /// workers had their weights 5 s after the plan instead of 2, and a third of the copies of second
-    /// models, by which lost members are replaced, was not made before requests came.
+    /// Before the first request loads are not limited, since they do not slow each other. With a
+    /// limit of twelve concurrent loads, 48 workers had their weights 5 s after the plan instead
+    /// of 2 s, and a third of the copies of second models, which are used to replace lost members,
+    /// was not made before requests arrived.
     pub(super) fn take_load(
         &mut self,
         model: &ModelName,
@@ -261,7 +265,7 @@
                 && self.loads.take(engine.loads_per_second, engine.loads_at_once, load, view.now))
     }
 
-    pub(super) fn give(
+    pub(super) fn issue(
         &mut self,
         worker: &WorkerId,
         order: WorkerOrder,
@@ -269,17 +273,17 @@
         tickets: &mut Vec<OrderTicket>,
     ) {
         let Some(report) = view.report(worker) else { return };
-        if !self.orders.may_give(worker, &order, view.now) {
+        if !self.orders.may_send(worker, &order, view.now) {
             return;
         }
         let ticket = OrderTicket { worker: worker.clone(), address: report.address.clone(), order };
-        self.orders.give(&ticket, view.now);
+        self.orders.record_sent(&ticket, view.now);
         tickets.push(ticket);
     }
 }
 
-fn next_of_opening(replica: &Replica, view: &StepView<'_>) -> Transition {
-    if worst_standing(replica, view) != WorkerStatus::Usable {
+fn after_opening(replica: &Replica, view: &StepView<'_>) -> Transition {
+    if worst_status(replica, view) != WorkerStatus::Usable {
         return Transition::Move(ReplicaPhase::Leaving);
     }
     match head_state(replica, view) {
@@ -289,13 +293,13 @@
     }
 }
 
-fn next_of_leaving(replica: &Replica, view: &StepView<'_>) -> Transition {
+fn after_leaving(replica: &Replica, view: &StepView<'_>) -> Transition {
     let head = replica.head();
     let reported = view.report(head).is_some_and(|report| replica.state_in(report).is_none());
     match view.status(head) {
         _ if replica.head_left || reported => Transition::HeadLeft,
         WorkerStatus::Dead => Transition::HeadLeft,
-        // The members leave one by one when they are needed elsewhere.
+        // Each member leaves when it is needed in another replica.
         WorkerStatus::Lost => Transition::Release("the head is lost"),
         WorkerStatus::Usable | WorkerStatus::Leaving => Transition::Stay,
     }
@@ -305,8 +309,8 @@
     view.report(replica.head()).and_then(|report| replica.state_in(report))
 }
 
-fn worst_standing(replica: &Replica, view: &StepView<'_>) -> WorkerStatus {
-    let rank = |standing: &WorkerStatus| match standing {
+fn worst_status(replica: &Replica, view: &StepView<'_>) -> WorkerStatus {
+    let severity = |status: &WorkerStatus| match status {
         WorkerStatus::Usable => 0,
         WorkerStatus::Leaving => 1,
         WorkerStatus::Lost => 2,
@@ -316,6 +320,6 @@
         .members
         .iter()
         .map(|member| view.status(member))
-        .max_by_key(rank)
+        .max_by_key(severity)
         .unwrap_or(WorkerStatus::Dead)
 }
--- a/crates/fleet/src/replicas/mod.rs
+++ b/crates/fleet/src/replicas/mod.rs
@@ -1,19 +1,20 @@
-//! The life of the replicas of one service, from the first order to the last.
+//! Lifecycle of the replicas of one service, from the first order to the last.
 //!
-//! The controller is stepped with what workers say of themselves and answers
-//! with orders. It keeps no durable state: epochs grow with the election term
-//! of who leads, and a new leader learns the replicas from the workers'
-//! reports.
+//! The controller is stepped with the workers' reports and returns orders. It
+//! keeps no durable state: epochs grow with the leader's election term, and a
+//! new leader learns the replicas from the workers' reports.
 //!
 //! Invariants:
 //!
 //! - `Open` is ordered only after each member itself reported that it is ready
 //!   under the replica's name and epoch.
 //! - A worker is ordered into another replica only after it has left its former
-//!   one itself, or after that one's head has.
-//! - A worker is ordered elsewhere only after it has said within the term where it is.
-//! - A worker has at most one order under way, over all its lives.
-//! - A life that has ended is a lost member, and the next one is another worker.
+//!   replica itself, or after the head of that replica has left it.
+//! - A worker is ordered into another replica only after it has reported its
+//!   membership within the current term.
+//! - A worker has at most one order in flight, over all its instances.
+//! - A superseded instance is a lost member, and the next instance is a
+//!   different worker.
 
 mod adopt;
 mod demand;
@@ -34,68 +35,68 @@
 use crate::engine::Engine;
 use crate::loads::LoadLimiter;
 
-use self::demand::ModelUses;
+use self::demand::ModelUtilisation;
 pub use names::{ReplicaKind, ReplicaName};
 pub use orders::{OrderOutcome, OrderTicket, WorkerOrder};
 
-/// Time between two looks at the free workers for the log.
+/// Interval at which changes of the set of free workers are logged.
 const FREE_LOG_INTERVAL: Duration = Duration::from_secs(2);
-/// Time without a new worker after which those of the first start have registered.
-const ARRIVAL_PAUSE: Duration = Duration::from_millis(400);
-/// Longest time for which the first plan waits for workers that register.
-const LONGEST_ARRIVAL: Duration = Duration::from_secs(4);
-/// Bits of an epoch that count within a term.
+/// Time without a new worker after which the initial registration counts as complete.
+const REGISTRATION_QUIET_TIME: Duration = Duration::from_millis(400);
+/// Longest time for which the first plan waits for workers to register.
+const MAX_REGISTRATION_WAIT: Duration = Duration::from_secs(4);
+/// Number of low bits of an epoch that hold the counter within a term.
 const EPOCH_TERM_SHIFT: u32 = 20;
 
-/// What is known of a worker's ability to take part.
+/// Whether a worker can be a member of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStatus {
-    /// It reports and may be ordered.
+    /// It reports and may receive orders.
     Usable,
-    /// It said that it leaves.
+    /// It reported that it is leaving.
     Leaving,
-    /// It is silent, and may or may not run.
+    /// It is silent; its process may or may not be running.
     Lost,
-    /// Its process has certainly ended.
+    /// Its process has certainly terminated.
     Dead,
 }
 
-/// A worker as the controller sees it at one moment.
+/// A worker's state as input to one step of the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerState<'a> {
     /// Its newest report.
     pub report: &'a WorkerReport,
-    /// When the worker last said what stands in that report.
+    /// When the worker last confirmed the content of that report.
     pub confirmed: Instant,
-    /// Requests that gateways have under way there.
+    /// Requests of gateways in flight on the worker.
     pub active: u32,
-    /// Estimated time to read their prompts that were not read yet, in milliseconds.
+    /// Estimated time to process the prompts that are still waiting, in milliseconds.
     pub waiting_ms: u32,
-    /// Whether it can take part.
+    /// Whether it can be a member of a replica.
     pub status: WorkerStatus,
 }
 
-/// Times that the life of a replica is measured against.
+/// Timeouts of a replica's lifecycle.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTiming {
-    /// Time for an order to show in the worker's report before it is given again.
+    /// Time for an order to show in the worker's report before it is sent again.
     pub order_retry: Duration,
-    /// Longest time for the requests of a replica to end before it is taken apart.
+    /// Longest time for the requests of a closing replica to complete before it is disbanded.
     pub close_timeout: Duration,
-    /// Longest time after which an order that got no answer may still be carried out.
+    /// Longest time after which an unanswered order may still be carried out.
     pub max_order_delay: Duration,
     /// Window in which loads are counted.
     pub load_window: Duration,
 }
 
-/// Moments in the term of a leader.
+/// Points in time in the term of a leader.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaderTimes {
-    /// When it began: what workers said before may be out of date by orders of the leader before.
+    /// Start of the term. Reports from before it may be outdated by orders of the former leader.
     pub term_start: Instant,
-    /// From when on the leader believes that it has heard of every worker.
+    /// When the leader starts to treat its set of workers as complete.
     pub settled: Instant,
-    /// From when on loads may be ordered.
+    /// When the leader may start to order loads.
     pub loads_from: Instant,
 }
 
@@ -103,13 +104,13 @@
 enum ReplicaPhase {
     /// Members are joining.
     Forming,
-    /// All members are ready, and the head was told to serve.
+    /// All members are ready, and the head was ordered to serve.
     Opening,
-    /// The head takes requests.
+    /// The head accepts requests.
     Serving,
-    /// The head takes nothing new and ends what it has.
+    /// The head accepts no new requests and completes those in flight.
     Closing { until: Instant },
-    /// The head is being told to leave.
+    /// The head is being ordered to leave.
     Leaving,
 }
 
@@ -118,9 +119,9 @@
     name: ReplicaName,
     members: Vec<WorkerId>,
     phase: ReplicaPhase,
-    /// Whether the head may ever have been told to serve.
+    /// Whether the head may ever have been ordered to serve.
     opened: bool,
-    /// Whether the head answered an order to leave.
+    /// Whether the head has certainly left the replica.
     head_left: bool,
 }
 
@@ -129,18 +130,18 @@
         &self.members[0]
     }
 
-    fn is_own(&self, membership: &WorkerMembership) -> bool {
+    fn is_named_by(&self, membership: &WorkerMembership) -> bool {
         membership.epoch == self.name.epoch && membership.replica == self.name.to_text()
     }
 
-    /// The state that a report gives of its worker's part in this replica.
+    /// Returns the membership state that a report gives for this replica, if it names it.
     fn state_in(&self, report: &WorkerReport) -> Option<MembershipState> {
         let membership = report.membership.as_ref()?;
-        self.is_own(membership).then_some(membership.state)
+        self.is_named_by(membership).then_some(membership.state)
     }
 }
 
-/// Everything that one step sees.
+/// Input of one step.
 struct StepView<'a> {
     workers: BTreeMap<&'a WorkerId, WorkerState<'a>>,
     engine: &'a Engine,
@@ -157,7 +158,7 @@
     }
 }
 
-/// Forms, opens, watches and takes apart the replicas of one service.
+/// Forms, opens, monitors and disbands the replicas of one service.
 #[derive(Debug)]
 pub struct ReplicaController {
     timing: ReplicaTiming,
@@ -166,22 +167,22 @@
     times: LeaderTimes,
     replicas: BTreeMap<Epoch, Replica>,
     standbys: BTreeMap<WorkerId, ReplicaName>,
-    /// Models that workers are copying to their hosts, and since when.
+    /// Models that workers are copying to their hosts, each with the start of the copy.
     staging: BTreeMap<WorkerId, (ModelName, Instant)>,
-    /// Replicas whose head has left, so that nothing of them can serve.
+    /// Replicas whose head has left, so that they can no longer serve.
     vacated: BTreeSet<Epoch>,
-    /// Workers that answered an order to leave a replica, which their report may still name.
+    /// Workers that answered an order to leave a replica; their reports may still name it.
     departed: BTreeMap<WorkerId, Epoch>,
     orders: orders::OrderBook,
-    /// Joins that got no answer, by the name of their worker, and until when each may still be
-    /// carried out: by the life it was meant for, or by the next one.
-    uncertain: BTreeMap<String, BTreeMap<Epoch, Instant>>,
+    /// Unanswered joins by worker name, each with the time until which it may still be carried
+    /// out, by the addressed instance or by a later one of the same name.
+    unanswered_joins: BTreeMap<String, BTreeMap<Epoch, Instant>>,
     loads: LoadLimiter,
-    uses: ModelUses,
-    /// Most workers that were known at once.
-    most_workers: usize,
-    /// When there came to be so many.
-    last_arrival: Instant,
+    utilisation: ModelUtilisation,
+    /// Highest number of workers known at one time.
+    max_workers: usize,
+    /// When that number was reached.
+    last_registration: Instant,
     free_logged: String,
     free_logged_at: Option<Instant>,
 }
@@ -189,9 +190,10 @@
 impl ReplicaController {
     /// Creates a controller for a term that this daemon leads.
     ///
-    /// Until it has settled it only takes over replicas that are whole. A worker is ordered
-    /// elsewhere only once it has said since the term began where it is. Loads from the store wait
-    /// for a time of their own, since the leader before may have used the allowed rate up.
+    /// Until it has settled it only adopts complete replicas. A worker is ordered into another
+    /// replica only once it has reported its membership since the start of the term. Loads from
+    /// the store wait until `times.loads_from`, since the former leader may have used up the
+    /// allowed rate.
     pub fn new(timing: ReplicaTiming, term: Term, times: LeaderTimes) -> Self {
         Self {
             timing,
@@ -204,19 +206,20 @@
             vacated: BTreeSet::new(),
             departed: BTreeMap::new(),
             orders: orders::OrderBook::new(timing.order_retry),
-            uncertain: BTreeMap::new(),
+            unanswered_joins: BTreeMap::new(),
             loads: LoadLimiter::new(timing.load_window),
-            uses: ModelUses::new(times.settled),
-            most_workers: 0,
-            last_arrival: times.settled,
+            utilisation: ModelUtilisation::new(times.settled),
+            max_workers: 0,
+            last_registration: times.settled,
             free_logged: String::new(),
             free_logged_at: None,
         }
     }
 
-    /// Acts on what workers reported; returns the orders to give.
+    /// Advances the replicas by the workers' reports and returns the orders to send.
     ///
-    /// `warming_up` says that no request has come yet, so that loads are cheap and not counted.
+    /// `warming_up` is set until the first request arrives. Loads are cheap until then and are
+    /// not counted.
     pub fn step(
         &mut self,
         engine: &Engine,
@@ -228,10 +231,10 @@
         let view = StepView { workers, engine, now };
         self.adopt_reported(&view);
         self.advance_replicas(&view);
-        let arriving = self.is_arriving(&view);
+        let registering = self.is_registering(&view);
         if now >= self.times.settled {
             self.disband_scattered(&view);
-            if !(warming_up && arriving) {
+            if !(warming_up && registering) {
                 self.place_free(&view, warming_up);
             }
             self.keep_standbys(&view);
@@ -239,31 +242,33 @@
         let mut tickets = Vec::new();
         self.order_replicas(&view, warming_up, &mut tickets);
         self.order_standbys(&view, warming_up, &mut tickets);
-        if now >= self.times.settled && !(warming_up && arriving) {
+        if now >= self.times.settled && !(warming_up && registering) {
             self.order_staging(&view, warming_up, &mut tickets);
         }
         tickets
     }
 
-    /// Whether workers have registered lately, so that more are to come.
+    /// Returns whether workers have registered recently, so that more are expected.
     ///
-    /// A plan over a part of them would fill domains with replicas of small models, which need
-    /// few workers, and leave no room for large ones.
-    fn is_arriving(&mut self, view: &StepView<'_>) -> bool {
-        if view.workers.len() > self.most_workers {
-            self.most_workers = view.workers.len();
-            self.last_arrival = view.now;
+    /// A plan over only some of the workers would fill domains with replicas of small models,
+    /// which need few workers, and leave no capacity for large ones.
+    fn is_registering(&mut self, view: &StepView<'_>) -> bool {
+        if view.workers.len() > self.max_workers {
+            self.max_workers = view.workers.len();
+            self.last_registration = view.now;
         }
-        view.now < (self.last_arrival + ARRIVAL_PAUSE).min(self.times.settled + LONGEST_ARRIVAL)
+        view.now
+            < (self.last_registration + REGISTRATION_QUIET_TIME)
+                .min(self.times.settled + MAX_REGISTRATION_WAIT)
     }
 
-    /// Takes the outcome of an order in.
+    /// Records the outcome of an order.
     pub fn record_outcome(&mut self, ticket: &OrderTicket, outcome: OrderOutcome, now: Instant) {
         self.orders.record_outcome(ticket, outcome, now);
         let epoch = ticket.order.name().epoch;
         match (&ticket.order, outcome) {
             (WorkerOrder::Leave { .. }, outcome) if outcome.is_settled() => {
-                // One that may yet join once more has to leave once more, too.
+                // A worker that may still carry out a late join has to leave again after it.
                 if !self.may_still_join(&ticket.worker, epoch) {
                     self.departed.insert(ticket.worker.clone(), epoch);
                 }
@@ -271,17 +276,17 @@
                     replica.head_left |= *replica.head() == ticket.worker;
                 }
             }
-            (WorkerOrder::Join { .. }, OrderOutcome::Fenced) => self.give_up_forming(epoch),
+            (WorkerOrder::Join { .. }, OrderOutcome::Fenced) => self.abandon_forming(epoch),
             (WorkerOrder::Join { .. }, OrderOutcome::Unknown) => {
                 let name = ticket.worker.name().to_owned();
-                let joins = self.uncertain.entry(name).or_default();
+                let joins = self.unanswered_joins.entry(name).or_default();
                 joins.insert(epoch, now + self.timing.max_order_delay);
             }
             _ => {}
         }
     }
 
-    /// Heads that must get no new requests.
+    /// Returns the heads that must get no new requests.
     pub fn withheld(&self) -> Vec<WorkerId> {
         let serving = |replica: &&Replica| {
             matches!(replica.phase, ReplicaPhase::Serving | ReplicaPhase::Opening)
@@ -293,7 +298,7 @@
             .collect()
     }
 
-    /// Replicas that serve and those that do not, by model, as a log line has them.
+    /// Formats the number of serving and other replicas of each model for a log line.
     pub fn summary(&self) -> String {
         let mut counts: BTreeMap<&ModelName, (usize, usize)> = BTreeMap::new();
         for replica in self.replicas.values() {
@@ -308,7 +313,7 @@
         parts.chain([standbys]).collect::<Vec<_>>().join(" ")
     }
 
-    /// Logs now and then which free workers there are, if that has changed.
+    /// Logs the free workers if they have changed, at most once per [`FREE_LOG_INTERVAL`].
     fn log_free(&mut self, view: &StepView<'_>) {
         let due = self.free_logged_at.is_none_or(|at| view.now >= at + FREE_LOG_INTERVAL);
         if !due {
@@ -322,23 +327,23 @@
         }
     }
 
-    /// Free workers of each domain by what they hold and what they load, as a log line has them:
-    /// `domain:model+second/loading`, where a model that is being loaded stands behind the stroke.
+    /// Formats the free workers for a log line, each as `domain:model+second/loading`: the models
+    /// that it holds, and after the slash the model that it loads.
     fn describe_free(&self, view: &StepView<'_>) -> String {
         let mut free: Vec<String> = Vec::new();
         for report in self.free_workers(view) {
             let mut held: Vec<&str> =
                 report.model.iter().chain(&report.staged).map(|model| model.as_str()).collect();
             held.dedup();
-            let told = self.standbys.get(&report.id).map(|name| name.model.as_str());
-            let loading = told.filter(|model| !held.contains(model)).unwrap_or_default();
+            let assigned = self.standbys.get(&report.id).map(|name| name.model.as_str());
+            let loading = assigned.filter(|model| !held.contains(model)).unwrap_or_default();
             free.push(format!("{}:{}/{loading}", *domain_of(report), held.join("+")));
         }
         free.sort();
         free.join(",")
     }
 
-    /// Members of the replica that a worker heads.
+    /// Returns the members of the replica whose head is `head`.
     pub fn members_of_head(&self, head: &WorkerId) -> Vec<WorkerId> {
         let mut replicas = self.replicas.values();
         replicas
@@ -346,7 +351,7 @@
             .map_or_else(Vec::new, |replica| replica.members.clone())
     }
 
-    /// Head of the replica that a worker is a member of, where that replica serves.
+    /// Returns the head of the serving replica that a worker is a member of.
     pub fn serving_head_of(&self, member: &WorkerId) -> Option<&WorkerId> {
         let serving = |replica: &&Replica| {
             replica.phase == ReplicaPhase::Serving && replica.members.contains(member)
@@ -372,7 +377,7 @@
     }
 }
 
-/// A worker's domain; one that names none is alone in its own.
+/// Returns a worker's fabric domain. A worker that reports none gets a domain of its own.
 fn domain_of(report: &WorkerReport) -> DomainId {
     report.domain.clone().unwrap_or_else(|| DomainId::from(report.id.as_str()))
 }
--- a/crates/fleet/src/replicas/names.rs
+++ b/crates/fleet/src/replicas/names.rs
@@ -1,24 +1,25 @@
-//! Names of replicas, from which a new leader learns what they are.
+//! Names of replicas. They encode kind, model and epoch, so that a new leader can recover these
+//! from workers' reports.
 
 use hollowbarrow_schema::{Epoch, ModelName};
 
-/// What a replica is for.
+/// Purpose of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaKind {
-    /// It takes requests.
+    /// It accepts requests.
     Serving,
-    /// It is one worker that holds the weights, ready to replace a lost member.
+    /// It is a single worker that holds the weights, ready to replace a lost member.
     Standby,
 }
 
-/// Name of a replica: what it is for, its model and its epoch.
+/// Name of a replica: its kind, model and epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaName {
-    /// What it is for.
+    /// Its purpose.
     pub kind: ReplicaKind,
     /// Its model.
     pub model: ModelName,
-    /// Its epoch, which no other replica ever has.
+    /// Its epoch, which is unique to the replica.
     pub epoch: Epoch,
 }
 
@@ -26,7 +27,7 @@
 const STANDBY_PREFIX: &str = "standby";
 
 impl ReplicaName {
-    /// The name as workers are told it.
+    /// Formats the name as it is sent to workers.
     pub fn to_text(&self) -> String {
         let prefix = match self.kind {
             ReplicaKind::Serving => SERVING_PREFIX,
@@ -35,7 +36,7 @@
         format!("{prefix}.{}.{}", *self.epoch, *self.model)
     }
 
-    /// Reads a name that a worker reported; none where it is not one of ours.
+    /// Parses a name that a worker reported; returns `None` if it does not have this format.
     pub fn from_text(text: &str) -> Option<Self> {
         let mut parts = text.splitn(3, '.');
         let kind = match parts.next()? {
--- a/crates/fleet/src/replicas/orders.rs
+++ b/crates/fleet/src/replicas/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and which of them are under way.
+//! Orders to workers, and the latest order of each worker.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use super::names::ReplicaName;
 
-/// What a worker is told to do.
+/// Order to a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerOrder {
     /// Become a member of a replica.
@@ -18,19 +18,19 @@
         /// All members; the first is the head.
         members: Vec<WorkerId>,
     },
-    /// Take requests, as the head.
+    /// Accept requests, as the head.
     Open {
         /// The replica.
         name: ReplicaName,
     },
-    /// Take no new requests and end those under way, as the head.
+    /// Accept no new requests and complete those in flight, as the head.
     Close {
         /// The replica.
         name: ReplicaName,
     },
-    /// Copy a model's weights to the worker's host, beside all else.
+    /// Copy a model's weights to the worker's host, alongside any membership.
     Stage {
-        /// A name of the model without an epoch.
+        /// A name that carries the model; its epoch is 0.
         name: ReplicaName,
     },
     /// Leave a replica at once.
@@ -41,7 +41,7 @@
 }
 
 impl WorkerOrder {
-    /// The replica that the order is about.
+    /// Returns the name of the replica that the order refers to.
     pub fn name(&self) -> &ReplicaName {
         match self {
             Self::Join { name, .. }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Name of the order in logs.
+    /// Returns the name of the order in logs.
     pub fn verb(&self) -> &'static str {
         match self {
             Self::Join { .. } => "join",
@@ -64,38 +64,38 @@
     }
 }
 
-/// An order to one worker.
+/// An order together with its addressee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderTicket {
-    /// Who is ordered.
+    /// Worker that the order is for.
     pub worker: WorkerId,
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
-    /// What it is told.
+    /// The order.
     pub order: WorkerOrder,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The worker began it.
+    /// The worker has started to carry it out.
     Begun,
-    /// It holds already, or is done.
+    /// It is completed, or its effect was in place already.
     Done,
-    /// It does not fit the worker's state.
+    /// It does not apply in the worker's state.
     Misfit,
     /// The worker has seen a newer epoch or fence.
     Fenced,
     /// Another worker has the address, or the worker refuses the order.
     Refused,
-    /// No answer came; the order may be carried out now or later.
+    /// No answer was received; the order may be carried out now or later.
     Unknown,
-    /// The worker was not reached; the order was not taken.
+    /// The worker was not reached and has not received the order.
     Unreached,
 }
 
 impl OrderOutcome {
-    /// Name in metrics.
+    /// Returns the name of the outcome in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Begun => "begun",
@@ -108,49 +108,50 @@
         }
     }
 
-    /// Whether a worker that was told to leave is certainly not a member now.
+    /// Returns whether a worker that was ordered to leave is certainly not a member now.
     pub(super) fn is_settled(self) -> bool {
         matches!(self, Self::Begun | Self::Done | Self::Misfit)
     }
 }
 
 #[derive(Clone, Debug)]
-struct PlacedOrder {
+struct SentOrder {
     order: WorkerOrder,
     at: Instant,
     answered: bool,
 }
 
-/// The latest order of each worker, by its name: one that is on its way to a life that has ended
-/// may reach the next one.
+/// The latest order of each worker, keyed by worker name and not by instance: an order in flight
+/// to a terminated instance may reach the next one.
 #[derive(Clone, Debug)]
 pub(super) struct OrderBook {
-    repeat: Duration,
-    placed: BTreeMap<String, PlacedOrder>,
+    retry_interval: Duration,
+    sent: BTreeMap<String, SentOrder>,
 }
 
 impl OrderBook {
-    pub(super) fn new(repeat: Duration) -> Self {
-        Self { repeat, placed: BTreeMap::new() }
+    pub(super) fn new(retry_interval: Duration) -> Self {
+        Self { retry_interval, sent: BTreeMap::new() }
     }
 
-    /// Whether an order may go out: none is under way, and the same one was not just given.
-    pub(super) fn may_give(&self, worker: &WorkerId, order: &WorkerOrder, now: Instant) -> bool {
-        match self.placed.get(worker.name()) {
+    /// Returns whether an order may be sent: no order to the worker is in flight, and the same
+    /// order was not sent within the retry interval.
+    pub(super) fn may_send(&self, worker: &WorkerId, order: &WorkerOrder, now: Instant) -> bool {
+        match self.sent.get(worker.name()) {
             None => true,
-            Some(placed) if !placed.answered => false,
-            Some(placed) => placed.order != *order || now >= placed.at + self.repeat,
+            Some(sent) if !sent.answered => false,
+            Some(sent) => sent.order != *order || now >= sent.at + self.retry_interval,
         }
     }
 
-    pub(super) fn was_given(&self, worker: &WorkerId, order: &WorkerOrder) -> bool {
-        self.placed.get(worker.name()).is_some_and(|placed| placed.order == *order)
+    pub(super) fn was_sent(&self, worker: &WorkerId, order: &WorkerOrder) -> bool {
+        self.sent.get(worker.name()).is_some_and(|sent| sent.order == *order)
     }
 
-    pub(super) fn give(&mut self, ticket: &OrderTicket, now: Instant) {
+    pub(super) fn record_sent(&mut self, ticket: &OrderTicket, now: Instant) {
         let order = ticket.order.clone();
-        let placed = PlacedOrder { order, at: now, answered: false };
-        self.placed.insert(ticket.worker.name().to_owned(), placed);
+        let sent = SentOrder { order, at: now, answered: false };
+        self.sent.insert(ticket.worker.name().to_owned(), sent);
     }
 
     pub(super) fn record_outcome(
@@ -159,18 +160,18 @@
         outcome: OrderOutcome,
         now: Instant,
     ) {
-        if let Some(placed) = self.placed.get_mut(ticket.worker.name())
-            && placed.order == ticket.order
+        if let Some(sent) = self.sent.get_mut(ticket.worker.name())
+            && sent.order == ticket.order
         {
-            placed.answered = true;
+            sent.answered = true;
             if outcome != OrderOutcome::Unreached {
-                placed.at = now;
+                sent.at = now;
             }
         }
     }
 
-    /// Forgets workers that are not in the table any more.
+    /// Removes workers that are no longer in the table.
     pub(super) fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.placed.retain(|worker, _| known(worker));
+        self.sent.retain(|worker, _| known(worker));
     }
 }
--- a/crates/fleet/src/replicas/place.rs
+++ b/crates/fleet/src/replicas/place.rs
@@ -1,4 +1,5 @@
-//! Plans replicas over free workers, and takes apart those that are better formed elsewhere.
+//! Plans replicas over free workers, and disbands replicas over several domains once one domain
+//! can form them.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +14,20 @@
 };
 
 impl ReplicaController {
-    /// Plans replicas over the workers that are in none.
+    /// Plans replicas over the free workers.
     pub(super) fn place_free(&mut self, view: &StepView<'_>, warming_up: bool) {
-        self.record_uses(view);
+        self.record_utilisation(view);
         let models = view.engine.models.iter();
         let demands: Vec<PlacementDemand> =
-            models.map(|model| self.uses.demand_of(model)).collect();
+            models.map(|model| self.utilisation.demand_of(model)).collect();
         let usable = view.workers.values().filter(|s| s.status == WorkerStatus::Usable);
         let mut domains: BTreeMap<DomainId, usize> = BTreeMap::new();
         for state in usable {
             *domains.entry(domain_of(state.report)).or_default() += 1;
         }
         let free = self.free_for_placement(view);
-        let standing = self.count_standing(view);
-        let planned = plan_replicas(&demands, &standing, &domains, &free, warming_up);
+        let existing = self.count_existing(view);
+        let planned = plan_replicas(&demands, &existing, &domains, &free, warming_up);
         self.form(planned);
         let disbanding =
             self.replicas.values().any(|r| matches!(r.phase, ReplicaPhase::Closing { .. }));
@@ -34,8 +35,8 @@
             return;
         }
         let free = self.free_for_placement(view);
-        let standing = self.count_standing(view);
-        self.form(plan_scattered(&demands, &standing, &domains, &free));
+        let existing = self.count_existing(view);
+        self.form(plan_scattered(&demands, &existing, &domains, &free));
         self.log_free(view);
     }
 
@@ -49,7 +50,7 @@
         self.free_workers(view).into_iter().map(to_worker).collect()
     }
 
-    /// Begins to form planned replicas.
+    /// Starts to form planned replicas.
     fn form(&mut self, planned: Vec<PlannedReplica>) {
         for replica in planned {
             let epoch = self.next_epoch();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Takes apart a replica over several domains once one of them can form it alone.
+    /// Closes a replica over several domains once one of them can form it alone.
     pub(super) fn disband_scattered(&mut self, view: &StepView<'_>) {
         let near = self.count_near(&self.free_workers(view));
         let mut serving = self.replicas.values().filter(|r| r.phase == ReplicaPhase::Serving);
@@ -88,7 +89,8 @@
         self.enter(epoch, ReplicaPhase::Closing { until });
     }
 
-    fn count_standing(&self, view: &StepView<'_>) -> BTreeMap<(DomainId, ModelName), usize> {
+    /// Counts the replicas that are not leaving, by domain of the first known member and by model.
+    fn count_existing(&self, view: &StepView<'_>) -> BTreeMap<(DomainId, ModelName), usize> {
         let mut counts = BTreeMap::new();
         let kept = |replica: &&Replica| replica.phase != ReplicaPhase::Leaving;
         for replica in self.replicas.values().filter(kept) {
--- a/crates/fleet/src/replicas/standby.rs
+++ b/crates/fleet/src/replicas/standby.rs
@@ -1,8 +1,8 @@
-//! Keeps free workers ready to replace a lost member.
+//! Keeps free workers ready to replace lost members.
 //!
-//! A worker that was once a member of a replica of some model joins another one
-//! of that model in a fraction of a second. So each free worker that holds no
-//! weights joins a replica of its own, which is never opened.
+//! A worker that already holds a model's weights joins a replica of that model
+//! in a fraction of a second. So each free worker without weights joins a
+//! single-member standby replica, which is never opened.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,14 +14,15 @@
 use super::orders::{OrderTicket, WorkerOrder};
 use super::{ReplicaController, StepView, WorkerStatus, domain_of};
 
-/// Time after which copying a model to a host counts as failed, as a multiple of its length.
-const STAGING_PATIENCE: u32 = 3;
+/// Timeout of a copy of a model to a host, as a multiple of the longest load time.
+const STAGING_TIMEOUT_FACTOR: u32 = 3;
 
-/// Free workers of each domain that can serve a model without the store, or soon will.
+/// Number of free workers, by domain and model, that can serve the model without a load from the
+/// store, or that are assigned to load it.
 pub(super) type NearCounts = BTreeMap<(DomainId, ModelName), usize>;
 
 impl ReplicaController {
-    /// Gives each free worker without weights a model to hold.
+    /// Assigns a model to each free worker without weights.
     pub(super) fn keep_standbys(&mut self, view: &StepView<'_>) {
         let usable = |id: &WorkerId| view.status(id) == WorkerStatus::Usable;
         self.standbys.retain(|worker, _| usable(worker));
@@ -29,20 +30,21 @@
         let mut near = self.count_near(&free);
         for report in free {
             let domain = domain_of(report);
-            let told = self.standbys.get(&report.id).cloned();
+            let assigned = self.standbys.get(&report.id).cloned();
             if report.model.is_some()
-                || told.as_ref().is_some_and(|name| self.was_told(report, name))
+                || assigned.as_ref().is_some_and(|name| self.was_ordered(report, name))
             {
                 continue;
             }
-            // What waits for its load may still change its mind: others came and went meanwhile.
-            if let Some(name) = &told {
+            // A worker whose load was not ordered yet may get another model, since the set of free
+            // workers may have changed meanwhile.
+            if let Some(name) = &assigned {
                 let count = near.entry((domain.clone(), name.model.clone())).or_default();
                 *count = count.saturating_sub(1);
             }
             let Some(model) = choose_model(report, &near, view, &[]) else { continue };
             *near.entry((domain, model.clone())).or_default() += 1;
-            if told.is_some_and(|name| name.model == model) {
+            if assigned.is_some_and(|name| name.model == model) {
                 continue;
             }
             let epoch = self.next_epoch();
@@ -51,15 +53,15 @@
         }
     }
 
-    /// Whether a worker was ordered to hold what was chosen for it.
-    fn was_told(&self, report: &WorkerReport, name: &ReplicaName) -> bool {
-        self.orders.was_given(&report.id, &standby_order(name, &report.id))
+    /// Returns whether a worker was ordered to join its standby replica.
+    fn was_ordered(&self, report: &WorkerReport, name: &ReplicaName) -> bool {
+        self.orders.was_sent(&report.id, &standby_order(name, &report.id))
     }
 
-    /// Usable workers that are in no replica that serves or will.
+    /// Returns the usable workers that are in no replica of this controller.
     ///
-    /// Those are left out that have not said since the term began where they are: the leader before
-    /// may have made one the head of a replica, which serves on.
+    /// Workers that have not reported their membership since the start of the term are excluded:
+    /// the former leader may have made one the head of a replica that still serves.
     pub(super) fn free_workers<'a>(&self, view: &StepView<'a>) -> Vec<&'a WorkerReport> {
         let members: BTreeSet<&WorkerId> =
             self.replicas.values().flat_map(|replica| &replica.members).collect();
@@ -85,13 +87,13 @@
         near
     }
 
-    /// Model that a free worker holds or was told to hold.
+    /// Returns the model that a free worker is assigned or holds.
     fn model_of_free(&self, report: &WorkerReport) -> Option<ModelName> {
-        let told = self.standbys.get(&report.id).map(|name| name.model.clone());
-        told.or_else(|| report.model.clone())
+        let assigned = self.standbys.get(&report.id).map(|name| name.model.clone());
+        assigned.or_else(|| report.model.clone())
     }
 
-    /// Orders the standbys that are not there yet.
+    /// Orders workers into their standby replicas unless they have joined already.
     pub(super) fn order_standbys(
         &mut self,
         view: &StepView<'_>,
@@ -108,19 +110,21 @@
             let model = name.model.clone();
             let order = standby_order(&name, &worker);
             if self.may_join(report, &order, &model, view, warming_up) {
-                self.give(&worker, order, view, tickets);
+                self.issue(&worker, order, view, tickets);
             }
         }
     }
 
-    /// The standbys, first those whose load completes the members of a replica soonest: loads are
-    /// few, and a replica that lacks one member is worth nothing.
+    /// Returns the standbys, first those whose domain lacks the fewest members for a complete
+    /// replica: loads are limited, and a replica that lacks one member cannot serve.
     fn standbys_by_urgency(&self, view: &StepView<'_>) -> Vec<(WorkerId, ReplicaName)> {
         let mut held = NearCounts::new();
         for report in self.free_workers(view) {
-            let told = self.standbys.get(&report.id).filter(|name| self.was_told(report, name));
+            let ordered =
+                self.standbys.get(&report.id).filter(|name| self.was_ordered(report, name));
             let models = report.model.iter().chain(&report.staged);
-            let models: BTreeSet<&ModelName> = models.chain(told.map(|name| &name.model)).collect();
+            let models: BTreeSet<&ModelName> =
+                models.chain(ordered.map(|name| &name.model)).collect();
             for model in models {
                 *held.entry((domain_of(report), model.clone())).or_default() += 1;
             }
@@ -138,17 +142,18 @@
         standbys
     }
 
-    /// Has free workers copy a second model to their hosts, so that each can serve either soon.
+    /// Orders free workers to copy a second model to their hosts, so that each can soon serve
+    /// either model.
     ///
-    /// Before the first request copies are cheap, so that a lost member of any model can be replaced
-    /// from then on.
+    /// Copies are cheap before the first request. Made then, they let a lost member of any model
+    /// be replaced from the first request on.
     pub(super) fn order_staging(
         &mut self,
         view: &StepView<'_>,
         warming_up: bool,
         tickets: &mut Vec<OrderTicket>,
     ) {
-        self.forget_staged(view);
+        self.prune_staging(view);
         let free = self.free_workers(view);
         let mut near = self.count_near(&free);
         for report in free {
@@ -160,39 +165,40 @@
             let Some(model) = choose_model(report, &near, view, &[held]) else { continue };
             let name = ReplicaName { kind: ReplicaKind::Standby, model, epoch: Epoch(0) };
             let order = WorkerOrder::Stage { name: name.clone() };
-            let may_give = self.orders.may_give(&report.id, &order, view.now);
-            if !may_give || !self.take_load(&name.model, view, warming_up) {
+            let may_send = self.orders.may_send(&report.id, &order, view.now);
+            if !may_send || !self.take_load(&name.model, view, warming_up) {
                 continue;
             }
             *near.entry((domain_of(report), name.model.clone())).or_default() += 1;
             self.staging.insert(report.id.clone(), (name.model, view.now));
-            self.give(&report.id, order, view, tickets);
+            self.issue(&report.id, order, view, tickets);
         }
     }
 
-    /// Forgets copies that are there, that failed or whose worker is not there any more.
-    fn forget_staged(&mut self, view: &StepView<'_>) {
+    /// Removes copies that have completed or timed out, or whose worker has departed.
+    fn prune_staging(&mut self, view: &StepView<'_>) {
         let longest =
             view.engine.models.iter().map(|model| model.load_time).max().unwrap_or_default();
         self.staging.retain(|worker, (model, since)| {
             let Some(report) = view.report(worker) else { return false };
-            let late = view.now.duration_since(*since) > longest * STAGING_PATIENCE;
+            let late = view.now.duration_since(*since) > longest * STAGING_TIMEOUT_FACTOR;
             !report.staged.contains(model) && !late
         });
     }
 }
 
-/// The order by which a worker holds a model in a replica of its own.
+/// Returns the order that makes a worker the only member of a standby replica.
 fn standby_order(name: &ReplicaName, worker: &WorkerId) -> WorkerOrder {
     WorkerOrder::Join { name: name.clone(), members: vec![worker.clone()] }
 }
 
-/// How much one more worker near a model is worth to its domain.
+/// Value to a domain of one more worker that holds a model, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum SpareValue {
-    /// There are enough for now: the fewer there are for the model's size, the better.
+    /// The domain has a spare, and no replica is completed: the value is higher the fewer workers
+    /// there are relative to the model's size.
     Further { missing_permille: usize },
-    /// It is the first that could replace a lost member; larger replicas lose one sooner.
+    /// It is the first that could replace a lost member; larger replicas lose a member sooner.
     FirstSpare { size: usize },
     /// It completes the members of another replica.
     Completes { size: usize },
@@ -207,8 +213,8 @@
     }
 }
 
-/// The model that a worker should hold for the good of its domain; what lies on its host already
-/// goes before anything that must be loaded.
+/// Returns the model of which one more holder has the highest value to the worker's domain. Models
+/// that are already staged on the worker's host come before those that must be loaded.
 fn choose_model(
     report: &WorkerReport,
     near: &NearCounts,
@@ -216,10 +222,10 @@
     excluded: &[ModelName],
 ) -> Option<ModelName> {
     let domain = domain_of(report);
-    let rank = |spec: &ModelSpec| {
+    let preference = |spec: &ModelSpec| {
         let count = near.get(&(domain.clone(), spec.name.clone())).copied().unwrap_or_default();
         (report.staged.contains(&spec.name), value_of(spec, count))
     };
     let models = view.engine.models.iter().filter(|spec| !excluded.contains(&spec.name));
-    models.max_by_key(|spec| rank(spec)).map(|spec| spec.name.clone())
+    models.max_by_key(|spec| preference(spec)).map(|spec| spec.name.clone())
 }
