--- a/crates/fleet/src/deployment.rs
+++ b/crates/fleet/src/deployment.rs
@@ -1,6 +1,6 @@
-//! A whole configuration: routes, services, organisations and limits.
+//! A complete configuration: routes, services, organisations and limits.
 //!
-//! Invariant: a [`Deployment`] that [`Deployment::check`] found no fault in can
+//! Invariant: a [`Deployment`] in which [`Deployment::check`] finds no fault can
 //! be put in force as it is.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 
 use crate::engine::Engine;
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may be repeated, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
     /// The request may run more than once.
@@ -20,50 +20,50 @@
     AtMostOnce,
     /// The answer is a stream of events; it may run at most once.
     Stream,
-    /// The answer is a stream of events that another worker can go on with.
+    /// The answer is a stream of events that another worker can continue.
     ResumableStream,
 }
 
 impl Repeatability {
-    /// Whether a request may be sent again although it may have run.
+    /// Returns whether a request that may have run may be sent again.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// Where requests for a host and path go, and what they are promised.
+/// Services and objectives of the requests for a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name in logs.
     pub name: String,
     /// Host that callers name.
     pub host: String,
-    /// Beginning of the path; it starts and ends with a slash.
+    /// Path prefix; it starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: Repeatability,
-    /// Longest time that a request is held.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is worth most.
+    /// Latency objective of an answer, or of a stream's first event.
     pub objective: Duration,
-    /// Longest pause between two events that is still in time.
+    /// Latency objective of the gap between two events of a stream.
     pub gap_objective: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
     /// Services and their weights.
     pub split: Vec<(ServiceName, u32)>,
     /// Most workers that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
-/// A set of workers that answer alike.
+/// A set of interchangeable workers, or of model engines that form replicas.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name.
@@ -77,24 +77,24 @@
 }
 
 impl Service {
-    /// Whether its workers form replicas.
+    /// Returns whether its workers form replicas.
     pub fn has_replicas(&self) -> bool {
         self.engine.as_ref().is_some_and(|engine| !engine.models.is_empty())
     }
 }
 
-/// An organisation and the keys that it calls with.
+/// An organisation and its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
-    /// Name that workers are told.
+    /// Name that is sent to workers.
     pub name: OrganisationId,
-    /// Keys in force.
+    /// Valid keys.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's, if there is one.
+    /// Priority that overrides the route's, if set.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Largest head of a request in bytes.
@@ -103,14 +103,14 @@
     pub body_bytes: usize,
     /// Longest time to send a head.
     pub header_timeout: Duration,
-    /// Longest time that a connection may rest.
+    /// Longest time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
-    /// Version; the highest prevails.
+    /// Version; the highest takes precedence.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
@@ -118,22 +118,22 @@
     pub services: Vec<Service>,
     /// Limits on callers.
     pub limits: CallerLimits,
-    /// Organisations; none means that no request needs a key.
+    /// Organisations; `None` means that no request needs a key.
     pub organisations: Option<Vec<Organisation>>,
 }
 
 /// Why a configuration cannot be put in force.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DeploymentFault {
-    /// The text is not what it should be.
+    /// A field of the document cannot be read.
     #[error("{field}: {reason}")]
     Unreadable {
-        /// Where in the document.
+        /// Path of the field in the document.
         field: String,
         /// What is wrong.
         reason: String,
     },
-    /// A route names a service that the document does not hold.
+    /// A route names a service that the document does not define.
     #[error("routes.{route}: the service {service} is not in the document")]
     UnknownService {
         /// Name of the route.
@@ -153,13 +153,13 @@
         /// Prefix that both name.
         prefix: String,
     },
-    /// The weights of a route add up to nothing.
+    /// All weights of a route are 0.
     #[error("routes.{route}.weights: they add up to 0")]
     ZeroWeight {
         /// Name of the route.
         route: String,
     },
-    /// A route gives its requests no time.
+    /// The timeout of a route is 0.
     #[error("routes.{route}.timeout: it is 0")]
     ZeroTimeout {
         /// Name of the route.
@@ -187,7 +187,7 @@
         /// Organisation that came second.
         second: String,
     },
-    /// A model has no members.
+    /// The replica size of a model is 0.
     #[error("services.{service}.models.{model}: its size is 0")]
     ZeroSize {
         /// Name of the service.
@@ -198,7 +198,7 @@
 }
 
 impl Deployment {
-    /// Lists everything that keeps the configuration from being put in force.
+    /// Returns every fault that prevents the configuration from being put in force.
     pub fn check(&self) -> Vec<DeploymentFault> {
         let mut faults = Vec::new();
         self.check_services(&mut faults);
@@ -207,7 +207,7 @@
         faults
     }
 
-    /// The service of a name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name)
     }
@@ -231,14 +231,14 @@
     fn check_routes(&self, faults: &mut Vec<DeploymentFault>) {
         let services: BTreeSet<&ServiceName> =
             self.services.iter().map(|service| &service.name).collect();
-        let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
+        let mut prefixes: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for route in &self.routes {
             let name = || route.name.clone();
             for (service, _) in route.split.iter().filter(|(name, _)| !services.contains(name)) {
                 let service = service.to_string();
                 faults.push(DeploymentFault::UnknownService { route: name(), service });
             }
-            if let Some(first) = places.insert((&route.host, &route.prefix), &route.name) {
+            if let Some(first) = prefixes.insert((&route.host, &route.prefix), &route.name) {
                 faults.push(DeploymentFault::DuplicateRoute {
                     first: first.to_owned(),
                     second: name(),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,17 +1,18 @@
-//! Registered workers, whole configurations and the life of replicas, without
-//! input or output.
+//! Registered workers, complete configurations and the lifecycle of replicas,
+//! without input or output.
 //!
-//! Gateways and controllers share these types and decisions. Everything here is
-//! driven by its caller with reports and the time, so that tests can play any
-//! order of events. Nothing here knows how a platform spells its messages.
+//! Gateways and controllers share these types and decisions. Callers pass in
+//! reports and the current time, so that tests can replay any order of events.
+//! The crate is independent of the platform's message formats.
 //!
 //! Invariants:
 //!
-//! - Of two reports of one worker the one with the higher number counts.
-//! - A replica is opened only after each member itself said that it is ready
+//! - Of two reports of one worker instance the one with the higher sequence
+//!   number takes precedence.
+//! - A replica is opened only after each member itself reported that it is ready
 //!   under the replica's name and epoch.
-//! - A worker is ordered into a replica only after its former replica's head
-//!   can no longer serve.
+//! - A worker is ordered into a replica only after the head of its former
+//!   replica can no longer serve.
 
 pub mod deployment;
 pub mod engine;
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -1,11 +1,11 @@
 //! Decides which free workers form which replicas.
 //!
-//! A pure function: the same workers, replicas and demands give the same plan.
-//! It never moves a replica that stands.
+//! Planning is a pure function: the same workers, replicas and demands give the
+//! same plan. It never moves an existing replica.
 //!
-//! Trade-off: a part of each fabric domain is kept free, so that a lost member
-//! is replaced within a second by a worker that holds the weights already. The
-//! reserve gives way where a model would otherwise fall below its share.
+//! Trade-off: a share of each fabric domain is kept free, so that a lost member
+//! is replaced within a second by a worker that already holds the weights. The
+//! reserve is used up where a model would otherwise fall below its share.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,22 +13,23 @@
 use hollowbarrow_schema::{DomainId, ModelName, WorkerId};
 
 /// Distance of a worker that must load a model from the store.
-const FAR: u8 = 2;
-/// Part of all workers that replicas are planned for, while no domain's reserve forbids it.
+const STORE_DISTANCE: u8 = 2;
+/// Share of all workers that the target counts of replicas are computed from.
 const USED_SHARE: f64 = 0.92;
-/// Replicas of a model are spread over domains only while this many times their number is not wanted.
-const LAST_RESORT: usize = 3;
-/// Part of a domain's workers that is kept free while replicas are spread.
+/// A model gets replicas over several domains only while its number of replicas times this factor
+/// does not exceed the target count.
+const SCATTER_FACTOR: usize = 3;
+/// Share of a domain's workers that is kept free while the reserve applies.
 const RESERVE_SHARE: f64 = 0.2;
 
-/// What is wanted of one model.
+/// Demand for replicas of one model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementDemand {
     /// The model.
     pub model: ModelName,
     /// Workers in one replica.
     pub size: usize,
-    /// Share of the work, and so of the workers.
+    /// Share of the work, and thus of the workers.
     pub share: f64,
 }
 
@@ -41,19 +42,20 @@
     pub domain: DomainId,
     /// Model whose weights it holds in memory.
     pub model: Option<ModelName>,
-    /// Models whose weights lie on its host.
+    /// Models whose weights are on its host.
     pub staged: Vec<ModelName>,
 }
 
 impl PlacementWorker {
-    /// How soon it can serve a model: 0 at once, 1 from its host, [`FAR`] from the store.
+    /// Returns where the worker has a model's weights: 0 in memory, 1 on its host,
+    /// [`STORE_DISTANCE`] only in the store.
     fn distance(&self, model: &ModelName) -> u8 {
         if self.model.as_ref() == Some(model) {
             0
         } else if self.staged.contains(model) {
             1
         } else {
-            FAR
+            STORE_DISTANCE
         }
     }
 }
@@ -69,22 +71,22 @@
 
 /// Plans replicas over the free workers.
 ///
-/// Unless `may_load`, only workers that hold a model's weights or have them on their host take
-/// part: a replica that waits for a load would keep its other members from any other use.
+/// Unless `may_load`, only workers with a model's weights in memory or on their host are eligible:
+/// a replica that waits for a load would block its other members from any other use.
 ///
-/// `standing` counts the replicas of each model in each domain, and `workers`
-/// all usable workers of each domain, those in replicas included.
+/// `existing` counts the replicas of each model in each domain, and `workers` counts all usable
+/// workers of each domain, including those in replicas.
 pub fn plan_replicas(
     demands: &[PlacementDemand],
-    standing: &BTreeMap<(DomainId, ModelName), usize>,
+    existing: &BTreeMap<(DomainId, ModelName), usize>,
     workers: &BTreeMap<DomainId, usize>,
     free: &[PlacementWorker],
     may_load: bool,
 ) -> Vec<PlannedReplica> {
-    let mut planner = ReplicaPlanner::new(demands, standing, workers, free);
+    let mut planner = ReplicaPlanner::new(demands, existing, workers, free);
     planner.may_load = may_load;
     let mut planned = Vec::new();
-    if standing.is_empty() {
+    if existing.is_empty() {
         planned.extend(planner.place_largest_first());
     }
     while let Some(replica) = planner.place_next(true) {
@@ -96,17 +98,18 @@
     planned
 }
 
-/// Plans replicas of workers from several domains, which are slower but better than none.
+/// Plans replicas whose members are in several domains. They are slower than replicas within one
+/// domain.
 ///
-/// For when no domain can form another replica alone; the arguments are those of
+/// Meant for models of which no domain can form another replica alone. The arguments are those of
 /// [`plan_replicas`].
 pub fn plan_scattered(
     demands: &[PlacementDemand],
-    standing: &BTreeMap<(DomainId, ModelName), usize>,
+    existing: &BTreeMap<(DomainId, ModelName), usize>,
     workers: &BTreeMap<DomainId, usize>,
     free: &[PlacementWorker],
 ) -> Vec<PlannedReplica> {
-    let mut planner = ReplicaPlanner::new(demands, standing, workers, free);
+    let mut planner = ReplicaPlanner::new(demands, existing, workers, free);
     planner.may_load = false;
     let mut planned = Vec::new();
     while let Some(replica) = planner.place_scattered() {
@@ -119,7 +122,7 @@
     demands: &'a [PlacementDemand],
     counts: BTreeMap<ModelName, usize>,
     hosted: BTreeSet<(DomainId, ModelName)>,
-    wanted: BTreeMap<ModelName, usize>,
+    targets: BTreeMap<ModelName, usize>,
     workers: &'a BTreeMap<DomainId, usize>,
     free: BTreeMap<DomainId, Vec<&'a PlacementWorker>>,
     may_load: bool,
@@ -128,13 +131,13 @@
 impl<'a> ReplicaPlanner<'a> {
     fn new(
         demands: &'a [PlacementDemand],
-        standing: &BTreeMap<(DomainId, ModelName), usize>,
+        existing: &BTreeMap<(DomainId, ModelName), usize>,
         workers: &'a BTreeMap<DomainId, usize>,
         free: &'a [PlacementWorker],
     ) -> Self {
         let mut counts: BTreeMap<ModelName, usize> = BTreeMap::new();
         let mut hosted = BTreeSet::new();
-        for ((domain, model), count) in standing {
+        for ((domain, model), count) in existing {
             *counts.entry(model.clone()).or_default() += count;
             hosted.insert((domain.clone(), model.clone()));
         }
@@ -142,18 +145,19 @@
         for worker in free {
             by_domain.entry(worker.domain.clone()).or_default().push(worker);
         }
-        let wanted = wanted_counts(demands, workers.values().sum());
-        Self { demands, counts, hosted, wanted, workers, free: by_domain, may_load: true }
+        let targets = target_counts(demands, workers.values().sum());
+        Self { demands, counts, hosted, targets, workers, free: by_domain, may_load: true }
     }
 
-    /// Places what is wanted of each model, the largest replicas first: where nothing stands yet
-    /// there is room for all, and small ones placed before would break up what large ones need.
+    /// Places the target count of each model, the largest replicas first. Without existing
+    /// replicas there is capacity for all, and small replicas placed first would fragment the
+    /// domains that large ones need.
     fn place_largest_first(&mut self) -> Vec<PlannedReplica> {
         let mut order: Vec<&PlacementDemand> = self.demands.iter().collect();
         order.sort_by_key(|demand| Reverse(demand.size));
         let mut planned = Vec::new();
         for demand in order {
-            while self.is_wanted(demand)
+            while self.is_below_target(demand)
                 && let Some(domain) = self.choose_domain(demand, true)
             {
                 planned.push(self.place(demand, &domain));
@@ -162,11 +166,11 @@
         planned
     }
 
-    /// Whether fewer replicas of a model stand or are planned than its share asks for.
-    fn is_wanted(&self, demand: &PlacementDemand) -> bool {
+    /// Returns whether a model has fewer existing and planned replicas than its target count.
+    fn is_below_target(&self, demand: &PlacementDemand) -> bool {
         let count = self.counts.get(&demand.model).copied().unwrap_or_default();
-        let wanted = self.wanted.get(&demand.model).copied().unwrap_or_default();
-        count < wanted
+        let target = self.targets.get(&demand.model).copied().unwrap_or_default();
+        count < target
     }
 
     /// Places one replica of the model that is furthest below its share.
@@ -174,7 +178,7 @@
         let mut order: Vec<&PlacementDemand> = self.demands.iter().collect();
         order.sort_by(|a, b| self.fill_of(a).total_cmp(&self.fill_of(b)));
         for demand in order {
-            if !self.is_wanted(demand) {
+            if !self.is_below_target(demand) {
                 continue;
             }
             if let Some(domain) = self.choose_domain(demand, keep_reserve) {
@@ -184,37 +188,38 @@
         None
     }
 
-    /// Places one replica over several domains, of a model that is below its share.
+    /// Places one replica over several domains, of the model that is furthest below its share among
+    /// those that [`SCATTER_FACTOR`] admits and that have enough near workers.
     fn place_scattered(&mut self) -> Option<PlannedReplica> {
         let mut order: Vec<&PlacementDemand> = self.demands.iter().collect();
         order.sort_by(|a, b| self.fill_of(a).total_cmp(&self.fill_of(b)));
         let demand = order.into_iter().find(|demand| {
             let count = self.counts.get(&demand.model).copied().unwrap_or_default();
-            let wanted = self.wanted.get(&demand.model).copied().unwrap_or_default();
-            let near: usize = self.free.values().map(|free| near_of(free, &demand.model)).sum();
-            count * LAST_RESORT <= wanted && near >= demand.size
+            let target = self.targets.get(&demand.model).copied().unwrap_or_default();
+            let near: usize = self.free.values().map(|free| count_near(free, &demand.model)).sum();
+            count * SCATTER_FACTOR <= target && near >= demand.size
         })?;
         let mut domains: Vec<DomainId> = self.free.keys().cloned().collect();
-        domains.sort_by_key(|domain| Reverse(near_of(&self.free[domain], &demand.model)));
+        domains.sort_by_key(|domain| Reverse(count_near(&self.free[domain], &demand.model)));
         let mut members = Vec::with_capacity(demand.size);
         for domain in domains {
-            let free = self.free.get_mut(&domain).expect("the domain was just listed");
+            let free = self.free.get_mut(&domain).expect("the domain is a key of the map");
             free.sort_by_key(|worker| (worker.distance(&demand.model), worker.id.clone()));
-            let near = near_of(free, &demand.model).min(demand.size - members.len());
+            let near = count_near(free, &demand.model).min(demand.size - members.len());
             members.extend(free.drain(..near).map(|worker| worker.id.clone()));
         }
         *self.counts.entry(demand.model.clone()).or_default() += 1;
         Some(PlannedReplica { model: demand.model.clone(), members })
     }
 
-    /// Workers in replicas of a model in proportion to its share.
+    /// Returns the number of workers in replicas of a model divided by its share.
     fn fill_of(&self, demand: &PlacementDemand) -> f64 {
         let count = self.counts.get(&demand.model).copied().unwrap_or_default();
         (count * demand.size) as f64 / demand.share.max(f64::MIN_POSITIVE)
     }
 
     fn is_eligible(&self, worker: &PlacementWorker, model: &ModelName) -> bool {
-        self.may_load || worker.distance(model) < FAR
+        self.may_load || worker.distance(model) < STORE_DISTANCE
     }
 
     fn choose_domain(&self, demand: &PlacementDemand, keep_reserve: bool) -> Option<DomainId> {
@@ -222,14 +227,14 @@
             let total = self.workers.get(domain).copied().unwrap_or_default();
             let reserve = (total as f64 * RESERVE_SHARE).ceil() as usize;
             let eligible = free.iter().filter(|worker| self.is_eligible(worker, &demand.model));
-            let spared = if keep_reserve { reserve } else { 0 };
-            eligible.count() >= demand.size && free.len() >= demand.size + spared
+            let kept_free = if keep_reserve { reserve } else { 0 };
+            eligible.count() >= demand.size && free.len() >= demand.size + kept_free
         };
         let candidates = self.free.iter().filter(|(domain, free)| fits(domain, free));
         candidates
             .max_by_key(|(domain, free)| {
                 let warm = free.iter().filter(|worker| worker.distance(&demand.model) == 0).count();
-                let near = near_of(free, &demand.model);
+                let near = count_near(free, &demand.model);
                 let size = demand.size;
                 let key = ((*domain).clone(), demand.model.clone());
                 let spread = !self.hosted.contains(&key);
@@ -239,7 +244,7 @@
     }
 
     fn place(&mut self, demand: &PlacementDemand, domain: &DomainId) -> PlannedReplica {
-        let free = self.free.get_mut(domain).expect("a domain that was chosen has free workers");
+        let free = self.free.get_mut(domain).expect("a chosen domain has free workers");
         free.sort_by_key(|worker| (worker.distance(&demand.model), worker.id.clone()));
         let members = free.drain(..demand.size).map(|worker| worker.id.clone()).collect();
         *self.counts.entry(demand.model.clone()).or_default() += 1;
@@ -248,13 +253,13 @@
     }
 }
 
-/// Workers that need no load from the store for a model.
-fn near_of(free: &[&PlacementWorker], model: &ModelName) -> usize {
-    free.iter().filter(|worker| worker.distance(model) < FAR).count()
+/// Counts the workers that need no load from the store for a model.
+fn count_near(free: &[&PlacementWorker], model: &ModelName) -> usize {
+    free.iter().filter(|worker| worker.distance(model) < STORE_DISTANCE).count()
 }
 
-/// Replicas of each model that this many workers should carry, with the reserve left out.
-fn wanted_counts(demands: &[PlacementDemand], workers: usize) -> BTreeMap<ModelName, usize> {
+/// Returns the target count of replicas of each model for this many workers, at least one each.
+fn target_counts(demands: &[PlacementDemand], workers: usize) -> BTreeMap<ModelName, usize> {
     let usable = workers as f64 * USED_SHARE;
     let shares: f64 = demands.iter().map(|demand| demand.share).sum();
     let count = |demand: &PlacementDemand| {
--- a/crates/fleet/src/routes.rs
+++ b/crates/fleet/src/routes.rs
@@ -1,7 +1,7 @@
 //! Looks up routes and organisations of the configuration in force.
 //!
-//! Invariant: a lookup takes time by the length of the path, not by the number
-//! of routes.
+//! Invariant: the time of a lookup depends on the length of the path, not on the
+//! number of routes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 }
 
 impl RouteTable {
-    /// Indexes a configuration that was checked.
+    /// Indexes a configuration in which [`Deployment::check`] found no fault.
     pub fn new(deployment: &Deployment) -> Self {
         let mut routes: HashMap<String, HashMap<String, Arc<Route>>> = HashMap::new();
         for route in &deployment.routes {
@@ -42,39 +42,39 @@
         }
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Limits on callers.
+    /// Returns the limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// The route of the longest prefix that begins the path.
+    /// Returns the route with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(&normalise_host(host))?;
         let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
         slashes.map(|(position, _)| &path[..=position]).find_map(|prefix| routes.get(prefix))
     }
 
-    /// The service of a name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Whether requests of routes that are not public need a key.
+    /// Returns whether requests of routes that are not public need a key.
     pub fn needs_keys(&self) -> bool {
         self.organisations.is_some()
     }
 
-    /// The organisation that holds a key.
+    /// Returns the organisation that a key belongs to.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.organisations.as_ref()?.get(key)
     }
@@ -91,7 +91,7 @@
     holders
 }
 
-/// A host without its port, in lower case.
+/// Returns a host without its port, in lower case.
 fn normalise_host(host: &str) -> String {
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     name.to_ascii_lowercase()
--- a/crates/fleet/src/term.rs
+++ b/crates/fleet/src/term.rs
@@ -1,32 +1,32 @@
-//! Keeps what a leader knows for the length of its term.
+//! Keeps a leader's state for the length of its term.
 //!
-//! A leader may lose sight of its majority for a moment and find it again in the same term. No
-//! other daemon can have led in between, so what it kept still holds, and it must not begin the
-//! term anew: the epochs that it gave out before count on.
+//! A leader may lose contact with its majority and regain it in the same term. No other daemon can
+//! have led in between, so the state is still valid. It must not be created anew: the counter of
+//! assigned epochs has to continue.
 
 use hollowbarrow_schema::Term;
 
-/// State of one term, kept until a term with another number begins.
+/// State of one term, kept until a term with another number starts.
 #[derive(Debug)]
 pub struct TermState<T> {
-    held: Option<(Term, T)>,
+    current: Option<(Term, T)>,
 }
 
 impl<T> TermState<T> {
-    /// Creates an empty state: no term has begun yet.
+    /// Creates an empty state, before the first term.
     pub fn new() -> Self {
-        Self { held: None }
+        Self { current: None }
     }
 
-    /// The state of the newest term that has begun, whether it may be acted on now or not.
+    /// Returns the state of the newest term, whether or not the daemon may act as leader now.
     pub fn newest(&mut self) -> Option<&mut T> {
-        self.held.as_mut().map(|(_, state)| state)
+        self.current.as_mut().map(|(_, state)| state)
     }
 
-    /// The state of this term; `begin` makes it where the term is new.
+    /// Returns the state of a term, which `begin` creates if the term is new.
     pub fn enter(&mut self, term: Term, begin: impl FnOnce() -> T) -> &mut T {
-        let held = self.held.take().filter(|(current, _)| *current == term);
-        let (_, state) = self.held.insert(held.unwrap_or_else(|| (term, begin())));
+        let kept = self.current.take().filter(|(number, _)| *number == term);
+        let (_, state) = self.current.insert(kept.unwrap_or_else(|| (term, begin())));
         state
     }
 }
--- a/crates/fleet/src/workers.rs
+++ b/crates/fleet/src/workers.rs
@@ -1,16 +1,17 @@
 //! The table of registered workers: soft state that every daemon holds.
 //!
 //! Reports reach a daemon from workers and from other daemons, late, twice and
-//! in any order. The table keeps the newest one of each life of a worker. Two
-//! tables that hold the same reports have the same digest.
+//! in any order. The table keeps the newest report of each instance of a worker.
+//! Two tables with the same content have the same table hash.
 //!
-//! A later life of a name replaces the earlier one at once: that one counts as
-//! ended, and nothing that comes late of it changes anything. Where numbers or
-//! the start of a life go back, because another writer used the name or a clock
-//! was wrong, a controller lets them after a silence, and counts that: the count
-//! comes before start and number in what is newer.
+//! A later instance of a name supersedes the earlier one at once, and late
+//! reports of the earlier one have no effect. If sequence numbers or start times
+//! regress, because another process used the name or a clock was wrong, a
+//! controller accepts the older values after a silence and increments the
+//! report's `recount`. The recount takes precedence over start time and
+//! sequence number.
 //!
-//! Invariant: what is held of a name never goes back to an older report.
+//! Invariant: an entry never regresses to a report of lower precedence.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,47 +20,48 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a worker serves on after it has deregistered: the shortest drain time of deployments.
+/// Time for which a worker continues to serve after it has deregistered: the shortest drain time
+/// of deployments.
 const DEPARTURE_TIME: Duration = Duration::from_secs(2);
-/// How long a worker that has gone or ended is remembered, so that late reports cannot bring it
-/// back.
-const GONE_RETENTION: Duration = Duration::from_secs(60);
+/// Time for which a departed or superseded worker is kept, so that late reports cannot register it
+/// again.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Part of a silence for which calls that went back must go on before they are believed: more than
-/// half of a heartbeat, where a silence is three.
-const REGRESSION_PART: u32 = 5;
+/// Divisor of the silence time that gives for how long regressed reports must continue before they
+/// are accepted. With a silence of three heartbeats, a fifth is more than half of a heartbeat.
+const REGRESSION_TIME_DIVISOR: u32 = 5;
 
-/// What came of merging a report.
+/// Outcome of merging a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The report was older than what is held, or the same.
+    /// The report is not newer than the stored one.
     Stale,
-    /// The report is newer but says nothing new.
+    /// The report is newer and has the same content.
     Renewed,
-    /// The report says something new.
+    /// The report changes the content.
     Changed,
 }
 
-/// What is held of one life of a worker.
+/// Stored state of one instance of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// Newest report; its number is the highest under which its content was told.
+    /// Newest report. Its sequence number is the highest under which its content was reported.
     pub report: WorkerReport,
-    /// Highest number heard of.
+    /// Highest sequence number received.
     pub seq: u64,
-    /// When it was first heard of here.
+    /// When this daemon first received the instance.
     pub first_received: Instant,
-    /// When it was last heard of.
+    /// When a newer sequence number was last received.
     pub last_received: Instant,
-    /// Number under which its content last changed, as far as is known here.
+    /// Sequence number under which the content last changed, as far as this daemon knows.
     pub changed: u64,
-    /// When it was last heard that the worker still says what is held.
+    /// When it was last confirmed that the stored content is the worker's current one.
     pub confirmed: Instant,
-    /// Whether a later life of its name is known.
+    /// Whether a later instance of its name is known.
     pub superseded: bool,
 }
 
-/// What makes one life of a name later than another.
+/// Precedence among the instances of a name: recount, then start time.
 type InstancePrecedence = (u32, Option<Incarnation>);
 
 impl WorkerEntry {
@@ -67,13 +69,13 @@
         precedence_of(&self.report)
     }
 
-    /// Whether the worker can be of use: it has neither deregistered nor ended.
+    /// Returns whether the worker has neither deregistered nor been superseded.
     pub fn is_available(&self) -> bool {
         !self.report.gone && !self.superseded
     }
 }
 
-/// A worker's call that is older than what is held, although nothing else has come for a while.
+/// Reports of a name that are older than the stored one, although that one has fallen silent.
 #[derive(Clone, Debug)]
 struct Regression {
     id: WorkerId,
@@ -81,13 +83,13 @@
     since: Instant,
 }
 
-/// The newest report of each life.
+/// The newest report of each worker instance.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerTable {
     entries: BTreeMap<WorkerId, WorkerEntry>,
-    /// Newest life of each name.
+    /// Newest instance of each name.
     newest: BTreeMap<String, WorkerId>,
-    /// Calls that went back, by name.
+    /// Regressed reports, by name.
     regressions: BTreeMap<String, Regression>,
     hash: u64,
     revision: u64,
@@ -99,10 +101,11 @@
         Self::default()
     }
 
-    /// Takes in what a worker itself has just said.
+    /// Merges a report that the worker itself sent.
     ///
-    /// Where it is older than what is held of the name, it is taken once the holder has been silent
-    /// for `silence` and what is older goes on: somebody else used the name, or a clock was wrong.
+    /// A report that is older than the stored one of its name is accepted once the stored instance
+    /// has been silent for `silence` and the older reports continue: another process used the
+    /// name, or a clock was wrong.
     pub fn merge_direct(
         &mut self,
         mut report: WorkerReport,
@@ -112,20 +115,21 @@
         let name = report.id.name().to_owned();
         let Some(held) = self.newest_instance(&name) else { return self.merge(report, now) };
         report.recount = held.report.recount;
-        let own = held.report.id == report.id;
-        let behind = if own {
+        let same_instance = held.report.id == report.id;
+        let older = if same_instance {
             report.seq <= held.report.seq
         } else {
             precedence_of(&report) < held.precedence()
         };
-        if !behind {
+        if !older {
             self.regressions.remove(&name);
             return self.merge(report, now);
         }
-        let told = report.id.incarnation().is_some() || held.report.id.incarnation().is_none();
-        let left = own && held.report.gone;
+        let comparable =
+            report.id.incarnation().is_some() || held.report.id.incarnation().is_none();
+        let departed = same_instance && held.report.gone;
         let silent = now.saturating_duration_since(held.last_received) > silence;
-        if !told || left || !silent || !self.goes_on(&report, silence, now) {
+        if !comparable || departed || !silent || !self.regression_persists(&report, silence, now) {
             return MergeOutcome::Stale;
         }
         self.regressions.remove(&name);
@@ -133,9 +137,15 @@
         self.merge(report, now)
     }
 
-    /// Whether calls that went back have come for a while, each later than the one before: late
-    /// ones that a cut has held up come all at once.
-    fn goes_on(&mut self, report: &WorkerReport, silence: Duration, now: Instant) -> bool {
+    /// Records a regressed report and returns whether such reports have arrived for long enough,
+    /// none with a lower sequence number than the one before. Reports that were delayed by a
+    /// partition arrive all at once and do not meet this condition.
+    fn regression_persists(
+        &mut self,
+        report: &WorkerReport,
+        silence: Duration,
+        now: Instant,
+    ) -> bool {
         let first = Regression { id: report.id.clone(), seq: report.seq, since: now };
         let held = self.regressions.entry(report.id.name().to_owned()).or_insert(first.clone());
         let elapsed = now.saturating_duration_since(held.since);
@@ -144,10 +154,10 @@
             return false;
         }
         held.seq = report.seq;
-        elapsed >= silence / REGRESSION_PART
+        elapsed >= silence / REGRESSION_TIME_DIVISOR
     }
 
-    /// Takes a report in that another daemon passed on.
+    /// Merges a report that another daemon forwarded.
     pub fn merge(&mut self, report: WorkerReport, now: Instant) -> MergeOutcome {
         let newest = self.newest_instance(report.id.name());
         if newest.is_some_and(|held| {
@@ -160,17 +170,17 @@
             return MergeOutcome::Changed;
         };
         let recounted = report.recount > entry.report.recount;
-        // Beats may have told of later numbers without their content, so only the number under
-        // which the content was last confirmed counts.
+        // Beats may have carried later sequence numbers without the content, so the report is
+        // compared with the number under which the content was last reported.
         let later = report.recount == entry.report.recount && report.seq > entry.report.seq;
-        // Who took the deregistration may not have heard of the last calls before it, and has given
-        // it a number that others know already.
-        let goes = report.gone && !entry.report.gone;
-        if !(recounted || later || goes) {
+        // The daemon that accepted the deregistration may have missed the last reports before it,
+        // and may have given it a sequence number that other daemons know already.
+        let deregistered = report.gone && !entry.report.gone;
+        if !(recounted || later || deregistered) {
             return MergeOutcome::Stale;
         }
         if recounted || report.seq >= entry.seq {
-            // What is older than the newest number heard of may have changed again since.
+            // Content under an older number than the highest one received may have changed since.
             entry.confirmed = now;
         }
         if recounted || report.seq > entry.seq {
@@ -210,7 +220,7 @@
         self.set_newest(id);
     }
 
-    /// Notes that a life is the newest of its name; the one before has ended.
+    /// Records the newest instance of a name and marks the former one as superseded.
     fn set_newest(&mut self, id: WorkerId) {
         let former = self.newest.insert(id.name().to_owned(), id.clone());
         let Some(former) = former.filter(|former| *former != id) else { return };
@@ -221,17 +231,18 @@
         }
     }
 
-    /// Notes that a worker was heard of elsewhere; false where it is not in the table.
+    /// Merges a heartbeat that another daemon received. Returns false if the table lacks the
+    /// worker's report.
     pub fn renew(&mut self, beat: &WorkerBeat, now: Instant) -> bool {
         let Some(entry) = self.entries.get_mut(&beat.id) else { return false };
         if beat.recount > entry.report.recount {
-            // Its report has not come yet.
+            // The report with this recount has not arrived yet.
             return false;
         }
         if beat.recount == entry.report.recount && beat.seq > entry.seq {
             entry.seq = beat.seq;
             entry.last_received = now;
-            // One that tells of a later change than what is held confirms nothing of that.
+            // A beat that names a later change than the stored report does not confirm it.
             if beat.changed <= entry.report.seq {
                 entry.confirmed = now;
             }
@@ -239,7 +250,7 @@
         true
     }
 
-    /// Marks a worker as gone; returns the report to pass on if that is news.
+    /// Marks a worker as departed. Returns the report to forward if the worker was available.
     pub fn remove(&mut self, id: &WorkerId, now: Instant) -> Option<WorkerReport> {
         let entry = self.entries.get(id)?;
         if !entry.is_available() {
@@ -251,10 +262,11 @@
         Some(report)
     }
 
-    /// Forgets workers that have gone, or were not heard of for much longer than they should.
+    /// Removes available workers that have been silent for longer than `silence`, and departed or
+    /// superseded ones after their retention time.
     pub fn expire(&mut self, silence: Duration, now: Instant) {
         let old = |entry: &WorkerEntry| {
-            let limit = if entry.is_available() { silence } else { GONE_RETENTION };
+            let limit = if entry.is_available() { silence } else { DEPARTED_RETENTION };
             now.saturating_duration_since(entry.last_received) > limit
         };
         let expired: Vec<WorkerId> =
@@ -271,60 +283,60 @@
         }
     }
 
-    /// What is held of a worker.
+    /// Returns the entry of a worker instance.
     pub fn get(&self, id: &WorkerId) -> Option<&WorkerEntry> {
         self.entries.get(id)
     }
 
-    /// What is held of the newest life of a name.
+    /// Returns the entry of the newest instance of a name.
     pub fn newest_instance(&self, name: &str) -> Option<&WorkerEntry> {
         self.entries.get(self.newest.get(name)?)
     }
 
-    /// Everything held.
+    /// Returns all entries.
     pub fn iter(&self) -> impl Iterator<Item = &WorkerEntry> {
         self.entries.values()
     }
 
-    /// Workers of a service that take part in replicas: those that have not gone, and those that
-    /// have deregistered so lately that they still serve what they have under way. Lives that have
-    /// ended are among them, since replicas may still name them as members.
+    /// Returns the workers of a service that can be members of replicas: those that have not
+    /// deregistered, and those that still drain after they deregistered. Superseded instances are
+    /// included, since replicas may still name them as members.
     pub fn of_service(
         &self,
         service: &ServiceName,
         now: Instant,
     ) -> impl Iterator<Item = &WorkerEntry> {
-        // Left out at once, the members of a head that has deregistered were given to another
-        // replica within 0.5 s, and its streams stood still.
-        let serves = move |entry: &WorkerEntry| {
+        // If a deregistered head were excluded at once, its members would be assigned to another
+        // replica within 0.5 s, and its streams would stall.
+        let draining = move |entry: &WorkerEntry| {
             now.saturating_duration_since(entry.last_received) < DEPARTURE_TIME
         };
         let entries = self.entries.values().filter(move |entry| entry.report.service == *service);
-        entries.filter(move |entry| !entry.report.gone || serves(entry))
+        entries.filter(move |entry| !entry.report.gone || draining(entry))
     }
 
-    /// All reports, for a daemon whose table differs. Those of lives that have ended are left out.
+    /// Returns all reports, for a daemon whose table differs. Superseded instances are excluded.
     pub fn reports(&self) -> Vec<WorkerReport> {
         let entries = self.entries.values().filter(|entry| !entry.superseded);
         entries.map(|entry| entry.report.clone()).collect()
     }
 
-    /// Digest over the reports held; equal for equal tables.
+    /// Returns a hash over the available workers, which is equal for equal tables.
     pub fn table_hash(&self) -> u64 {
         self.hash
     }
 
-    /// Rises with every change.
+    /// Returns a counter that increases with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Number of workers held.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no worker is held.
+    /// Returns whether the table has no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -344,9 +356,11 @@
         && held.membership == new.membership
 }
 
-/// A life's part of the digest: its content without its number, since daemons may have learned
-/// the same content under different numbers. Workers that have gone or ended leave no mark, since
-/// daemons forget them at different times.
+/// Returns an instance's contribution to the table hash: its content without the sequence number,
+/// since daemons may have received the same content under different numbers. Departed and
+/// superseded workers contribute 0, since daemons remove them at different times.
+///
+/// Daemons compare this hash with each other, so the hashed text must stay the same.
 fn entry_hash(entry: &WorkerEntry) -> u64 {
     if !entry.is_available() {
         return 0;
