--- a/crates/planner/src/explain.rs
+++ b/crates/planner/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why each node was taken for a group or passed over.
+//! Explains why each node is or is not a member of a group.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::plan::NodeView;
 
-/// Explains every node of the zone from one group's point of view.
+/// Returns for each node of the zone whether the group has it, and why or why not.
 pub fn explain_nodes(
     spec: &GroupSpec,
     nodes: &[NodeView],
--- a/crates/planner/src/free.rs
+++ b/crates/planner/src/free.rs
@@ -1,4 +1,4 @@
-//! The nodes that no replica holds, by fabric domain.
+//! The nodes that are in no replica, by fabric domain.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,10 +6,10 @@
 
 use crate::plan::NodeView;
 
-/// Usable nodes that are not taken.
+/// Available nodes that are not allocated.
 pub(crate) struct FreeNodes<'a> {
     domains: BTreeMap<&'a DomainId, Vec<&'a NodeView>>,
-    taken: BTreeSet<NodeId>,
+    allocated: BTreeSet<NodeId>,
 }
 
 impl<'a> FreeNodes<'a> {
@@ -18,19 +18,19 @@
         for node in nodes.iter().filter(|node| node.is_available()) {
             domains.entry(&node.domain).or_default().push(node);
         }
-        Self { domains, taken: BTreeSet::new() }
+        Self { domains, allocated: BTreeSet::new() }
     }
 
-    pub(crate) fn take(&mut self, members: &[NodeId]) {
-        self.taken.extend(members.iter().cloned());
+    pub(crate) fn allocate(&mut self, members: &[NodeId]) {
+        self.allocated.extend(members.iter().cloned());
     }
 
     pub(crate) fn in_domain(&self, domain: &DomainId) -> impl Iterator<Item = &'a NodeView> {
         let nodes = self.domains.get(domain).map(Vec::as_slice).unwrap_or_default();
-        nodes.iter().copied().filter(|node| !self.taken.contains(&node.id))
+        nodes.iter().copied().filter(|node| !self.allocated.contains(&node.id))
     }
 
-    /// Free nodes that fit a group, for each domain that has any.
+    /// Returns the free nodes that match a group's selector, for each domain.
     pub(crate) fn matching_by_domain(
         &self,
         spec: &GroupSpec,
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Whole replicas of a group that the free nodes could form.
-    pub(crate) fn whole_replicas(&self, spec: &GroupSpec) -> u32 {
+    /// Returns how many complete replicas of a group the free nodes could form.
+    pub(crate) fn possible_replicas(&self, spec: &GroupSpec) -> u32 {
         let size = spec.size.max(1);
         self.matching_by_domain(spec).map(|(_, nodes)| nodes.len() as u32 / size).sum()
     }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,13 +1,13 @@
 //! Decides which nodes form each group of one availability zone.
 //!
-//! The planner is a pure function of the groups asked for, the nodes with
-//! their labels, and the present allocations. The zone's authority calls it,
-//! and `apply --dry-run` and `explain` call it too, so that what people are
-//! shown is what would be done.
+//! The planner is a pure function of the requested groups, the nodes with their
+//! labels, and the current allocations. The zone's authority, `apply --dry-run`
+//! and `explain` all call it, so that operators are shown what the authority
+//! would do.
 //!
 //! Invariants of every plan: no node is in two replicas, all members of a
 //! replica are in one fabric domain and match the group's selector, and a
-//! replica that is as asked for is left as it is.
+//! replica that matches its group's specification is not changed.
 
 mod explain;
 mod free;
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan itself.
+//! Computes which replicas to drain and which to form in one availability zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,59 +9,59 @@
 
 use crate::free::FreeNodes;
 
-/// A node as the planner sees it.
+/// State of a node as input to the planner.
 #[derive(Clone, Debug)]
 pub struct NodeView {
     /// Name of the node.
     pub id: NodeId,
-    /// Fabric domain that it sits in.
+    /// Fabric domain of the node.
     pub domain: DomainId,
     /// Labels that operators have set on it.
     pub labels: Labels,
-    /// Accelerators that it has.
+    /// Number of its accelerators.
     pub accelerators: u32,
-    /// Why it cannot be used now, if it cannot.
+    /// Why it cannot be used now, if so.
     pub unusable: Option<String>,
-    /// Whether it is about to be stopped, so that it takes no new replica and drains its own.
+    /// Whether it is about to be stopped. It then gets no new replica, and its replica drains.
     pub leaving: bool,
-    /// Why hollowbarrow may not use it, where operators have not given it the node.
+    /// Why hollowbarrow may not use it, if operators have not given it to hollowbarrow.
     pub unmanaged: Option<String>,
-    /// Weights that it holds, as `model@version`.
+    /// Weights on it, as `model@version`.
     pub weights: BTreeSet<String>,
 }
 
-/// A group and how many of its replicas this availability zone is to run.
+/// A group and its desired number of replicas in this availability zone.
 #[derive(Clone, Debug)]
 pub struct GroupDemand {
-    /// What the operator asked for.
+    /// Specification by the operator.
     pub spec: GroupSpec,
-    /// Replicas wanted in this zone.
+    /// Desired replicas in this zone.
     pub wanted: u32,
 }
 
-/// A present allocation and whether it serves.
+/// A current allocation and the state of its replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaView {
     /// The allocation.
     pub allocation: Allocation,
-    /// Whether every member is ready and it takes requests.
+    /// Whether every member is ready and the replica accepts requests.
     pub serving: bool,
-    /// Whether it is already giving up its nodes.
+    /// Whether it is already draining.
     pub draining: bool,
     /// Whether loading failed or took too long.
     pub failed: bool,
 }
 
-/// Why a replica is to give up its nodes.
+/// Why a replica is drained.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DrainReason {
-    /// The group is no longer asked for.
+    /// The group was deleted.
     #[error("the group was deleted")]
     GroupDeleted,
-    /// The zone is to run fewer replicas.
+    /// Fewer replicas are desired in the zone.
     #[error("fewer replicas are wanted in this availability zone")]
     TooMany,
-    /// The group asks for another model, version, adapter or size.
+    /// The model, version, adapter or size of the group has changed.
     #[error("the group now asks for another model, version, adapter or size")]
     SpecChanged,
     /// A member no longer matches the selector.
@@ -83,7 +83,7 @@
     MemberLost {
         /// The member.
         node: NodeId,
-        /// What is known of it.
+        /// Why it is lost.
         cause: String,
     },
     /// Loading failed or took too long.
@@ -92,31 +92,31 @@
 }
 
 impl NodeView {
-    /// Whether the node may become a member of a new replica.
+    /// Returns whether the node may become a member of a new replica.
     pub fn is_available(&self) -> bool {
         self.unusable.is_none() && self.unmanaged.is_none() && !self.leaving
     }
 }
 
 impl DrainReason {
-    /// Whether the replica cannot serve any more, so that there is nothing to wait for.
+    /// Returns whether the replica can no longer serve, so that its nodes are released at once.
     pub fn is_loss(&self) -> bool {
         matches!(self, Self::MemberLost { .. } | Self::LoadFailed)
     }
 }
 
-/// A replica that is to give up its nodes.
+/// A replica to drain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlanDrain {
     /// Its group.
     pub group: GroupName,
     /// Its slot within the group.
     pub slot: u32,
-    /// Why.
+    /// Why it is drained.
     pub reason: DrainReason,
 }
 
-/// A replica that is to be formed.
+/// A replica to form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NewReplica {
     /// Its group.
@@ -129,14 +129,14 @@
     pub domain: DomainId,
 }
 
-/// What is to change in an availability zone.
+/// Planned changes in an availability zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZonePlan {
-    /// Replicas that give up their nodes.
+    /// Replicas to drain.
     pub drains: Vec<PlanDrain>,
-    /// Replicas to form from nodes that are free once losses are released.
+    /// Replicas to form from nodes that are free once lost replicas are released.
     pub forms: Vec<NewReplica>,
-    /// Replicas that cannot be formed for lack of nodes, by group.
+    /// Number of replicas that cannot be formed for lack of nodes, by group.
     pub missing: BTreeMap<GroupName, u32>,
 }
 
@@ -151,7 +151,7 @@
 }
 
 impl GroupPlanner {
-    /// Creates a planner for the groups wanted in the zone.
+    /// Creates a planner for the groups desired in the zone.
     pub fn new(demands: Vec<GroupDemand>) -> Self {
         Self { demands, ..Self::default() }
     }
@@ -164,19 +164,20 @@
         self
     }
 
-    /// Sets the present allocations.
+    /// Sets the current allocations.
     pub fn with_replicas(mut self, replicas: Vec<ReplicaView>) -> Self {
         self.replicas = replicas;
         self
     }
 
-    /// Makes any loss dissolve every replica: the naive way, kept to be compared with.
+    /// Sets whether the loss of any member drains every replica, which serves as the baseline for
+    /// comparisons.
     pub fn with_rebuild_all(mut self, rebuild_all: bool) -> Self {
         self.rebuild_all = rebuild_all;
         self
     }
 
-    /// Makes the plan.
+    /// Computes the plan.
     pub fn plan(&self) -> ZonePlan {
         let drains = self.plan_drains();
         let lost: BTreeSet<(&GroupName, u32)> = drains
@@ -189,7 +190,7 @@
             let allocation = &replica.allocation;
             let released = lost.contains(&(&allocation.group, allocation.slot));
             if !released {
-                free.take(&allocation.members);
+                free.allocate(&allocation.members);
             }
         }
         let mut plan = ZonePlan { drains: drains.clone(), ..ZonePlan::default() };
@@ -204,26 +205,27 @@
         plan
     }
 
-    /// Replicas of one availability zone that could run of a group, if it had all free nodes.
+    /// Returns how many replicas of a group could run in the zone if the group had all free nodes.
     pub fn possible_replicas(&self, demand: &GroupDemand) -> u32 {
         let mut free = FreeNodes::new(&self.nodes);
-        let mut own = 0;
+        let mut existing = 0;
         for replica in &self.replicas {
             let allocation = &replica.allocation;
             let usable = self.drain_reason(replica).is_none_or(|reason| !reason.is_loss());
             if usable {
-                free.take(&allocation.members);
-                own += u32::from(allocation.group == demand.spec.name && !replica.draining);
+                free.allocate(&allocation.members);
+                existing += u32::from(allocation.group == demand.spec.name && !replica.draining);
             }
         }
-        own + free.whole_replicas(&demand.spec)
+        existing + free.possible_replicas(&demand.spec)
     }
 
     fn demand(&self, group: &GroupName) -> Option<&GroupDemand> {
         self.demands.iter().find(|demand| demand.spec.name == *group)
     }
 
-    /// Replicas that must go, and those that may go now without needless downtime.
+    /// Returns the replicas that must be drained, and those that may be drained now without
+    /// avoidable downtime.
     fn plan_drains(&self) -> Vec<PlanDrain> {
         let mut drains = Vec::new();
         let mut voluntary: BTreeMap<&GroupName, u32> = BTreeMap::new();
@@ -234,17 +236,17 @@
                 *voluntary.entry(group).or_default() += 1;
                 continue;
             }
-            let gone = matches!(
+            let immediate = matches!(
                 reason,
                 DrainReason::GroupDeleted | DrainReason::TooMany | DrainReason::NodeLeaving { .. }
             );
-            if !reason.is_loss() && !gone {
-                // A rolling change takes one replica at a time while the others serve.
-                let busy = voluntary.entry(group).or_default();
-                if *busy > 0 || (replica.serving && !self.others_serve(replica)) {
+            if !reason.is_loss() && !immediate {
+                // A rolling change drains one replica at a time while the others serve.
+                let changing = voluntary.entry(group).or_default();
+                if *changing > 0 || (replica.serving && !self.others_serve(replica)) {
                     continue;
                 }
-                *busy += 1;
+                *changing += 1;
             }
             let slot = replica.allocation.slot;
             drains.push(PlanDrain { group: group.clone(), slot, reason });
@@ -252,7 +254,7 @@
         drains
     }
 
-    /// Whether the group's other wanted replicas all serve, counting a group of one as such.
+    /// Returns whether all other replicas of the group serve; true if there are none.
     fn others_serve(&self, replica: &ReplicaView) -> bool {
         self.replicas
             .iter()
@@ -317,7 +319,7 @@
         })
     }
 
-    /// Slots beyond the number wanted; those that do not serve go first, then the highest.
+    /// Returns the slots beyond the desired number: first those that do not serve, then the highest.
     fn surplus_slots(&self, demand: &GroupDemand) -> BTreeSet<u32> {
         let mut slots: Vec<(bool, u32)> = self
             .replicas
@@ -337,39 +339,40 @@
         plan: &mut ZonePlan,
     ) {
         let spec = &demand.spec;
-        let mut held = BTreeSet::new();
+        let mut used_slots = BTreeSet::new();
         let mut staying = 0;
-        let mut survivors: Vec<&Allocation> = Vec::new();
+        let mut lost: Vec<&Allocation> = Vec::new();
         for replica in self.replicas.iter().filter(|r| r.allocation.group == spec.name) {
             let allocation = &replica.allocation;
-            held.insert(allocation.slot);
+            used_slots.insert(allocation.slot);
             let drain = drains.iter().find(|d| d.group == spec.name && d.slot == allocation.slot);
             match drain {
-                Some(drain) if drain.reason.is_loss() => survivors.push(allocation),
+                Some(drain) if drain.reason.is_loss() => lost.push(allocation),
                 Some(_) => {}
                 None if replica.draining => {}
                 None => staying += 1,
             }
         }
         let missing = demand.wanted.saturating_sub(staying);
-        let mut slots = (0u32..).filter(|slot| !held.contains(slot));
+        let mut slots = (0u32..).filter(|slot| !used_slots.contains(slot));
         for position in 0..missing {
-            let survivor = survivors.get(position as usize).copied();
-            let Some((domain, members)) = self.choose_members(spec, survivor, free) else {
+            let replaced = lost.get(position as usize).copied();
+            let Some((domain, members)) = self.choose_members(spec, replaced, free) else {
                 plan.missing.insert(spec.name.clone(), missing - position);
                 return;
             };
-            free.take(&members);
+            free.allocate(&members);
             let slot = slots.next().unwrap_or_default();
             plan.forms.push(NewReplica { group: spec.name.clone(), slot, members, domain });
         }
     }
 
-    /// Chooses a fabric domain and its nodes: where survivors are, then the tightest fit.
+    /// Chooses a fabric domain and nodes in it: first by the members of the replaced replica that
+    /// can stay, then by the tightest fit.
     fn choose_members(
         &self,
         spec: &GroupSpec,
-        survivor: Option<&Allocation>,
+        replaced: Option<&Allocation>,
         free: &FreeNodes<'_>,
     ) -> Option<(DomainId, Vec<NodeId>)> {
         let weights = weights_name(&spec.model, &spec.version);
@@ -382,18 +385,18 @@
             }
             let leftover = nodes.len() - size;
             let stays =
-                |node: &NodeView| survivor.is_some_and(|old| old.members.contains(&node.id));
+                |node: &NodeView| replaced.is_some_and(|old| old.members.contains(&node.id));
             nodes.sort_by_key(|node| {
-                let wanted_elsewhere = self.other_uses(spec, node);
-                (!stays(node), !node.weights.contains(&weights), wanted_elsewhere, &node.id)
+                let other_uses = self.other_uses(spec, node);
+                (!stays(node), !node.weights.contains(&weights), other_uses, &node.id)
             });
             nodes.truncate(size);
             let moved = nodes.iter().filter(|node| !stays(node)).count();
             let unloaded = nodes.iter().filter(|node| !node.weights.contains(&weights)).count();
-            // Without survivors every node moves, so the tightest fit decides.
-            let moved = if survivor.is_some() { moved } else { 0 };
+            // Without a replaced replica every node is new, so the tightest fit decides.
+            let moved = if replaced.is_some() { moved } else { 0 };
             let key = (moved, leftover % size.max(1), unloaded, leftover);
-            let members = order_members(&nodes, survivor);
+            let members = order_members(&nodes, replaced);
             if best.as_ref().is_none_or(|(found, ..)| key < *found) {
                 best = Some((key, domain.clone(), members));
             }
@@ -401,7 +404,7 @@
         best.map(|(_, domain, members)| (domain, members))
     }
 
-    /// How many other groups could use a node; the least versatile nodes are taken first.
+    /// Returns how many other groups could use a node. Nodes with the fewest uses are chosen first.
     fn other_uses(&self, spec: &GroupSpec, node: &NodeView) -> usize {
         self.demands
             .iter()
@@ -410,7 +413,8 @@
             .count()
     }
 
-    /// Free nodes of a domain that other groups keep as spares for their replicas there.
+    /// Returns how many free nodes of a domain are reserved as spares for other groups' replicas
+    /// there.
     fn reserved_for_others(
         &self,
         spec: &GroupSpec,
@@ -435,16 +439,18 @@
     }
 }
 
-/// What a choice of nodes costs, compared in order, with the choice itself.
+/// Cost of a choice of nodes, and the choice.
 type DomainChoice = (ChoiceCost, DomainId, Vec<NodeId>);
 
-/// Members moved, nodes left over, nodes without the weights, and all free nodes left.
+/// Cost, compared in order: members moved, remaining nodes that form no complete replica, nodes
+/// without the weights, and all remaining free nodes.
 type ChoiceCost = (usize, usize, usize, usize);
 
-/// Keeps surviving members at their ranks, so that as little as possible moves.
-fn order_members(nodes: &[&NodeView], survivor: Option<&Allocation>) -> Vec<NodeId> {
+/// Orders the chosen nodes by rank. Members that stay keep their ranks, so that as few as possible
+/// move.
+fn order_members(nodes: &[&NodeView], replaced: Option<&Allocation>) -> Vec<NodeId> {
     let chosen: BTreeSet<&NodeId> = nodes.iter().map(|node| &node.id).collect();
-    let old = survivor.map(|survivor| survivor.members.as_slice()).unwrap_or_default();
+    let old = replaced.map(|replaced| replaced.members.as_slice()).unwrap_or_default();
     let mut fresh = nodes.iter().map(|node| &node.id).filter(|id| !old.contains(id));
     let mut members: Vec<NodeId> = old
         .iter()
