--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Checks of whole configurations, and lookups of routes against a naive search.
+//! Checks of complete configurations, and route lookups against a reference implementation.
 
 use std::time::Duration;
 
@@ -49,14 +49,14 @@
 }
 
 #[rstest]
-fn check_sound_configuration() {
+fn check_valid_configuration() {
     assert_eq!(deployment(vec![route("r", "h", "/a/")]).check(), Vec::new());
 }
 
 #[rstest]
 #[case::unknown_service(|d: &mut Deployment| d.routes[0].split[0].0 = ServiceName("x".to_owned()),
     "routes.r: the service x is not in the document")]
-#[case::same_place(|d: &mut Deployment| d.routes.push(route("s", "h", "/a/")),
+#[case::duplicate_route(|d: &mut Deployment| d.routes.push(route("s", "h", "/a/")),
     "routes.s: h/a/ is already the place of r")]
 #[case::no_weight(|d: &mut Deployment| d.routes[0].split[0].1 = 0,
     "routes.r.weights: they add up to 0")]
@@ -65,12 +65,12 @@
 #[case::bad_prefix(|d: &mut Deployment| d.routes[0].prefix = "/a".to_owned(),
     "routes.r.prefix: \"/a\" does not begin and end with a slash")]
 #[case::shared_key(|d: &mut Deployment| {
-        d.organisations.as_mut().expect("there are organisations").push(organisation("owner", &["k2"]));
+        d.organisations.as_mut().expect("the configuration has organisations").push(organisation("owner", &["k2"]));
     }, "organisations.owner: a key is already one of family")]
-fn check_fault(#[case] spoil: fn(&mut Deployment), #[case] expected: &str) {
-    let mut spoilt = deployment(vec![route("r", "h", "/a/")]);
-    spoil(&mut spoilt);
-    let faults: Vec<String> = spoilt.check().iter().map(DeploymentFault::to_string).collect();
+fn check_fault(#[case] break_field: fn(&mut Deployment), #[case] expected: &str) {
+    let mut broken = deployment(vec![route("r", "h", "/a/")]);
+    break_field(&mut broken);
+    let faults: Vec<String> = broken.check().iter().map(DeploymentFault::to_string).collect();
     assert_eq!(faults, vec![expected.to_owned()]);
 }
 
@@ -102,11 +102,11 @@
     ) {
         let routes = prefixes.iter().map(|prefix| route(prefix, "h", prefix)).collect();
         let table = RouteTable::new(&deployment(routes));
-        let naive = prefixes
+        let reference = prefixes
             .iter()
             .filter(|prefix| path.starts_with(prefix.as_str()))
             .max_by_key(|prefix| prefix.len());
         let found = table.find("h", &path).map(|route| &route.prefix);
-        prop_assert_eq!(found, naive);
+        prop_assert_eq!(found, reference);
     }
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Plans against their invariants, and the limiter of loads against a naive count.
+//! Placement plans against their invariants, and the load limiter against a reference count.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -55,7 +55,7 @@
 }
 
 #[rstest]
-fn plan_without_loads_leaves_far_workers() {
+fn plan_without_loads_excludes_far_workers() {
     let mut workers: Vec<PlacementWorker> =
         (0..3).map(|id| worker(id, 0, Some("large"), None)).collect();
     workers.push(worker(3, 0, None, None));
@@ -67,7 +67,7 @@
 }
 
 #[rstest]
-fn scatter_only_where_almost_none_stands() {
+fn plan_scattered_few_replicas() {
     let workers: Vec<PlacementWorker> =
         (0..8).map(|id| worker(id, id / 2, Some("large"), None)).collect();
     let domains: BTreeMap<DomainId, usize> =
@@ -90,7 +90,10 @@
     for replica in planned {
         let demands = demands();
         let demand = demands.iter().find(|demand| demand.model == replica.model);
-        prop_assert_eq!(replica.members.len(), demand.expect("the model is known").size);
+        prop_assert_eq!(
+            replica.members.len(),
+            demand.expect("only models with a demand are planned").size
+        );
         let mut domains = BTreeSet::new();
         for member in &replica.members {
             prop_assert!(used.insert(member.clone()), "a worker is used twice");
@@ -98,9 +101,9 @@
             domains.insert(&worker.domain);
             let near = worker.model.as_ref() == Some(&replica.model)
                 || worker.staged.contains(&replica.model);
-            prop_assert!(may_load || near, "a worker must load");
+            prop_assert!(may_load || near, "a worker must load from the store");
         }
-        prop_assert!(!one_domain || domains.len() == 1, "a replica spans domains");
+        prop_assert!(!one_domain || domains.len() == 1, "a replica spans several domains");
     }
     Ok(())
 }
@@ -129,13 +132,13 @@
         let (rate, window) = (4.5, Duration::from_secs(5));
         let mut limiter = LoadLimiter::new(window);
         let mut now = Instant::now();
-        let mut begun: Vec<Instant> = Vec::new();
+        let mut started: Vec<Instant> = Vec::new();
         for step in steps {
             now += Duration::from_millis(step);
             while limiter.take(rate, usize::MAX, Duration::from_secs(16), now) {
-                begun.push(now);
+                started.push(now);
             }
-            let recent = begun.iter().filter(|at| now.duration_since(**at) < window).count();
+            let recent = started.iter().filter(|at| now.duration_since(**at) < window).count();
             prop_assert!(recent as f64 <= rate * window.as_secs_f64());
         }
     }
@@ -145,13 +148,13 @@
         let (length, at_once) = (Duration::from_secs(2), 3);
         let mut limiter = LoadLimiter::new(Duration::from_secs(5));
         let mut now = Instant::now();
-        let mut begun: Vec<Instant> = Vec::new();
+        let mut started: Vec<Instant> = Vec::new();
         for step in steps {
             now += Duration::from_millis(step);
             while limiter.take(1000.0, at_once, length, now) {
-                begun.push(now);
+                started.push(now);
             }
-            let running = begun.iter().filter(|at| now.duration_since(**at) < length).count();
+            let running = started.iter().filter(|at| now.duration_since(**at) < length).count();
             prop_assert!(running <= at_once);
         }
     }
--- a/crates/fleet/tests/planning.rs
+++ b/crates/fleet/tests/planning.rs
@@ -1,4 +1,4 @@
-//! What the leader plans: first, while workers register, and later, as replicas are used.
+//! The leader's plans while workers register, and as the replicas' utilisation changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 const DOMAINS: usize = 4;
-const WORKERS_A_DOMAIN: usize = 37;
+const WORKERS_PER_DOMAIN: usize = 37;
 const STEP: Duration = Duration::from_millis(10);
 const STEPS: u32 = 600;
-/// Time of a load before the first request.
+/// Duration of a load before the first request.
 const LOAD: Duration = Duration::from_millis(1600);
 
 fn model(name: &str, size: usize) -> ModelSpec {
@@ -85,17 +85,17 @@
     ReplicaController::new(timing, Term(1), times)
 }
 
-/// Replicas that were begun while workers registered at this pace, by model.
-fn plan_arriving(pause: Duration) -> BTreeMap<String, usize> {
+/// Counts, by model, the replicas that were started while workers registered at this interval.
+fn plan_registering(interval: Duration) -> BTreeMap<String, usize> {
     let start = Instant::now();
     let mut controller = new_controller(start);
-    let mut begun: BTreeSet<(Epoch, ModelName)> = BTreeSet::new();
+    let mut started: BTreeSet<(Epoch, ModelName)> = BTreeSet::new();
     let mut loads: BTreeMap<WorkerId, (ModelName, Instant)> = BTreeMap::new();
-    let total = DOMAINS * WORKERS_A_DOMAIN;
+    let total = DOMAINS * WORKERS_PER_DOMAIN;
     for step in 0..STEPS {
         let elapsed = STEP * step;
         let now = start + elapsed;
-        let registered = elapsed.div_duration_f64(pause) as usize;
+        let registered = elapsed.div_duration_f64(interval) as usize;
         let reports: Vec<WorkerReport> = (0..registered.min(total))
             .map(|number| {
                 let mut report = report(number);
@@ -111,29 +111,30 @@
             let WorkerOrder::Join { name, .. } = &ticket.order else { continue };
             loads.entry(ticket.worker.clone()).or_insert((name.model.clone(), now + LOAD));
             if name.kind == ReplicaKind::Serving {
-                begun.insert((name.epoch, name.model.clone()));
+                started.insert((name.epoch, name.model.clone()));
             }
         }
     }
     let mut counts = BTreeMap::new();
-    for (_, model) in begun {
+    for (_, model) in started {
         *counts.entry(model.to_string()).or_default() += 1;
     }
     counts
 }
 
-/// Large replicas are not left without room by small ones that could be formed sooner.
+/// Small replicas, which could be formed sooner, do not use up the capacity for large ones.
 #[rstest]
 #[case::at_once(1)]
 #[case::fast(5)]
 #[case::slowly(15)]
-fn step_waits_for_workers_that_register(#[case] pause_ms: u64) {
-    let counts = plan_arriving(Duration::from_millis(pause_ms));
+fn step_waits_for_registration(#[case] interval_ms: u64) {
+    let counts = plan_registering(Duration::from_millis(interval_ms));
     assert_eq!(counts.get("large"), Some(&DOMAINS), "{counts:?}");
     assert!(counts["small"] >= 4 * DOMAINS, "{counts:?}");
 }
 
-/// Free workers copy the model that they do not hold before the first request, when that is cheap.
+/// Free workers copy the model that they do not hold before the first request, while copies are
+/// cheap.
 #[rstest]
 fn step_copies_second_model_before_requests() {
     let engine = engine();
@@ -147,7 +148,7 @@
         for ticket in tickets {
             controller.record_outcome(&ticket, OrderOutcome::Begun, start + STEP * step);
             let loaded = reports.iter_mut().find(|report| report.id == ticket.worker);
-            let report = loaded.expect("orders go to workers that were reported");
+            let report = loaded.expect("orders address reported workers");
             match &ticket.order {
                 WorkerOrder::Join { name, .. } => report.model = Some(name.model.clone()),
                 WorkerOrder::Stage { name } => {
@@ -158,10 +159,10 @@
             }
         }
     }
-    assert_eq!(copied.len(), reports.len(), "each free worker copies one");
+    assert_eq!(copied.len(), reports.len(), "each free worker copies a second model");
 }
 
-/// Reports of the members of a replica that serves.
+/// Returns the reports of the members of a serving replica.
 fn members_of(replica: u64, model: &str, size: usize, first: usize) -> Vec<WorkerReport> {
     let member = |rank: usize| WorkerReport {
         domain: Some(DomainId::from("d0")),
@@ -177,10 +178,10 @@
     (0..size).map(member).collect()
 }
 
-/// Where a model's answers are held up by prompts that are read, it comes before one whose places
-/// are fuller.
+/// A model whose answers are delayed by waiting prompts takes precedence over one with more
+/// occupied slots.
 #[rstest]
-#[case::places_fuller(0, 0, "small")]
+#[case::slots_fuller(0, 0, "small")]
 #[case::prompts_wait(71, 9, "large")]
 fn step_plans_for_busier_model(
     #[case] large_waiting_ms: u32,
@@ -210,7 +211,7 @@
     let mut controller = new_controller(start);
     let mut planned = BTreeSet::new();
     for step in 0..STEPS {
-        // The free workers come once the use has been seen for some seconds.
+        // The free workers appear once the utilisation has been averaged for some seconds.
         let known = if step < STEPS - 100 { &states[..16] } else { &states[..] };
         for ticket in controller.step(&engine, known, false, start + STEP * step) {
             let name = ticket.order.name();
--- a/crates/fleet/tests/standins/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers that lose orders, carry them out late, end and come back.
+//! Simulated workers that lose orders, carry them out late, terminate and restart.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
 
-/// Time between two steps.
+/// Simulated time of one step.
 pub const TICK: Duration = Duration::from_millis(100);
 
 fn engine(size: usize) -> Engine {
@@ -43,16 +43,16 @@
     }
 }
 
-fn timing(late: Duration) -> ReplicaTiming {
+fn timing(max_order_delay: Duration) -> ReplicaTiming {
     ReplicaTiming {
         order_retry: Duration::from_millis(1800),
         close_timeout: Duration::from_millis(1500),
-        max_order_delay: late,
+        max_order_delay,
         load_window: Duration::from_secs(5),
     }
 }
 
-/// A worker's part in a replica.
+/// A worker's membership in a replica.
 #[derive(Clone)]
 pub struct Membership {
     name: ReplicaName,
@@ -61,25 +61,25 @@
     ready_at: Instant,
 }
 
-/// One worker, as it is and as it was last heard.
-pub struct StandinWorker {
+/// One worker: its current state, and its last report that reached the controller.
+pub struct SimulatedWorker {
     pub id: WorkerId,
     pub alive: bool,
     model: Option<ModelName>,
     staged: bool,
     pub membership: Option<Membership>,
-    highest: u64,
+    highest_epoch: u64,
     seq: u64,
-    /// What the controller last heard, and when.
-    pub heard: Option<(WorkerReport, Instant)>,
-    /// Whether its reports go to a controller that does not pass them on.
-    pub unheard: bool,
-    late: Vec<(Instant, WorkerOrder)>,
-    /// Until when nobody reaches it or hears of it, although it runs.
-    pub cut_until: Option<Instant>,
+    /// The last report that the controller received, and when.
+    pub last_report: Option<(WorkerReport, Instant)>,
+    /// Whether its reports go to a controller that does not forward them.
+    pub reports_lost: bool,
+    late_orders: Vec<(Instant, WorkerOrder)>,
+    /// Until when it runs but is partitioned from the controller.
+    pub partitioned_until: Option<Instant>,
 }
 
-impl StandinWorker {
+impl SimulatedWorker {
     fn new(id: String) -> Self {
         Self {
             id: WorkerId(id),
@@ -87,23 +87,23 @@
             model: None,
             staged: false,
             membership: None,
-            highest: 0,
+            highest_epoch: 0,
             seq: 0,
-            heard: None,
-            unheard: false,
-            late: Vec::new(),
-            cut_until: None,
+            last_report: None,
+            reports_lost: false,
+            late_orders: Vec::new(),
+            partitioned_until: None,
         }
     }
 
-    fn is_cut(&self, now: Instant) -> bool {
-        self.cut_until.is_some_and(|until| now < until)
+    fn is_partitioned(&self, now: Instant) -> bool {
+        self.partitioned_until.is_some_and(|until| now < until)
     }
 
-    /// Has the controller hear of it.
+    /// Sends a report to the controller.
     pub fn report(&mut self, now: Instant) {
         self.seq += 1;
-        if self.unheard {
+        if self.reports_lost {
             return;
         }
         let membership = self.membership.as_ref().map(|held| WorkerMembership {
@@ -127,72 +127,72 @@
             staged: if self.staged { vec![ModelName::from("m")] } else { Vec::new() },
             membership,
         };
-        self.heard = Some((report, now));
+        self.last_report = Some((report, now));
     }
 
-    /// Whether it is a head that takes requests.
+    /// Returns whether it is a head that accepts requests.
     pub fn is_open(&self) -> bool {
         let state = self.membership.as_ref().map(|held| held.state);
         self.alive && matches!(state, Some(MembershipState::Open | MembershipState::Closing))
     }
 }
 
-/// What becomes of an order on its way.
+/// Fault in the delivery of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderFault {
-    /// It is lost.
+    /// The order is lost.
     Lost,
-    /// It is carried out, and the answer is lost.
+    /// The order is carried out, and the answer is lost.
     AnswerLost,
-    /// It gets no answer, and is carried out after so long.
+    /// The order gets no answer and is carried out after this delay.
     Late(Duration),
     /// The worker is not reached.
     Unreached,
 }
 
-/// A fleet of stand-ins, and what was seen to break.
-pub struct Standins {
+/// A fleet of simulated workers, and the violations of invariants that were found.
+pub struct Simulation {
     pub now: Instant,
     pub rng: ChaCha8Rng,
-    pub workers: Vec<StandinWorker>,
+    pub workers: Vec<SimulatedWorker>,
     /// Members of each replica.
     size: usize,
-    /// What becomes of the next orders, before chance decides.
+    /// Faults of the next orders; they come before randomly drawn ones.
     pub planned: Vec<OrderFault>,
-    lives: usize,
-    /// Which members were ready under which epoch.
+    started: usize,
+    /// Epochs and the members that became ready under them.
     ready: BTreeSet<(u64, WorkerId)>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl Standins {
-    /// Creates workers that nobody has heard of.
+impl Simulation {
+    /// Creates workers that have not reported yet.
     pub fn new(seed: u64, count: usize, size: usize) -> Self {
-        let workers = (0..count).map(|index| StandinWorker::new(format!("w{index}"))).collect();
+        let workers = (0..count).map(|index| SimulatedWorker::new(format!("w{index}"))).collect();
         Self {
             now: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             workers,
             size,
             planned: Vec::new(),
-            lives: count,
+            started: count,
             ready: BTreeSet::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// The worker that an order reaches: it names the worker and not its life.
+    /// Returns the worker that an order reaches: an order addresses a name, not an instance.
     fn index_of(&self, id: &WorkerId) -> Option<usize> {
         self.workers.iter().position(|worker| worker.id.name() == id.name() && worker.alive)
     }
 
-    /// Whether a later life of a worker's name has come.
-    fn is_reborn(&self, worker: &StandinWorker) -> bool {
-        let later = |other: &StandinWorker| other.alive && other.id.name() == worker.id.name();
+    /// Returns whether a later instance of a terminated worker's name is running.
+    fn is_restarted(&self, worker: &SimulatedWorker) -> bool {
+        let later = |other: &SimulatedWorker| other.alive && other.id.name() == worker.id.name();
         !worker.alive && self.workers.iter().any(later)
     }
 
-    /// Carries an order out as a real worker does.
+    /// Carries out an order as a real worker does.
     fn carry_out(&mut self, index: usize, order: &WorkerOrder) -> OrderOutcome {
         let now = self.now;
         match order {
@@ -215,8 +215,8 @@
             }
             WorkerOrder::Leave { name } => {
                 let worker = &mut self.workers[index];
-                let own = worker.membership.as_ref().is_some_and(|held| held.name == *name);
-                if own {
+                let is_member = worker.membership.as_ref().is_some_and(|held| held.name == *name);
+                if is_member {
                     worker.membership = None;
                     OrderOutcome::Done
                 } else {
@@ -227,7 +227,7 @@
     }
 
     fn join(&mut self, index: usize, name: &ReplicaName, members: &[WorkerId]) -> OrderOutcome {
-        if *name.epoch < self.workers[index].highest {
+        if *name.epoch < self.workers[index].highest_epoch {
             return OrderOutcome::Fenced;
         }
         if let Some(held) = &self.workers[index].membership {
@@ -247,7 +247,7 @@
             });
             if open {
                 let id = &self.workers[index].id;
-                self.broken.push(format!("{id:?} joined {name:?} while {former:?} was open"));
+                self.violations.push(format!("{id:?} joined {name:?} while {former:?} was open"));
             }
         }
         let worker = &mut self.workers[index];
@@ -256,7 +256,7 @@
             (None, true) => Duration::from_millis(300),
             (None, false) => Duration::from_secs(2),
         };
-        worker.highest = *name.epoch;
+        worker.highest_epoch = *name.epoch;
         worker.membership = Some(Membership {
             name: name.clone(),
             members: members.to_vec(),
@@ -276,7 +276,7 @@
         }
         for member in &held.members {
             if !self.ready.contains(&(*name.epoch, member.clone())) {
-                self.broken.push(format!("{name:?} opened without {member:?}"));
+                self.violations.push(format!("{name:?} opened before {member:?} was ready"));
             }
         }
         if let Some(held) = &mut self.workers[index].membership {
@@ -285,7 +285,7 @@
         OrderOutcome::Begun
     }
 
-    /// Lets time pass: joins end, late orders are carried out.
+    /// Advances the time by one step: completes joins, carries out late orders and sends reports.
     pub fn advance(&mut self) {
         self.now += TICK;
         let now = self.now;
@@ -294,7 +294,7 @@
                 continue;
             }
             let due: Vec<WorkerOrder> = {
-                let late = &mut self.workers[index].late;
+                let late = &mut self.workers[index].late_orders;
                 let due =
                     late.iter().filter(|(at, _)| *at <= now).map(|(_, o)| o.clone()).collect();
                 late.retain(|(at, _)| *at > now);
@@ -315,59 +315,64 @@
                 self.ready.insert((*held.name.epoch, worker.id.clone()));
                 changed = true;
             }
-            let heard = !self.workers[index].is_cut(now);
-            if heard && (changed || self.rng.random_bool(0.1)) {
+            let connected = !self.workers[index].is_partitioned(now);
+            if connected && (changed || self.rng.random_bool(0.1)) {
                 self.workers[index].report(now);
             }
         }
     }
 
-    /// Has the controller hear of every worker.
+    /// Sends a report of every worker to the controller.
     pub fn report_all(&mut self) {
         let now = self.now;
         self.workers.iter_mut().for_each(|worker| worker.report(now));
     }
 
-    /// Ends a worker, and starts another in its place.
+    /// Terminates a worker, and starts one with a new name in its place.
     pub fn replace(&mut self, index: usize) {
         self.workers[index].alive = false;
         self.workers[index].membership = None;
-        let mut next = StandinWorker::new(format!("w{}", self.lives));
+        let mut next = SimulatedWorker::new(format!("w{}", self.started));
         next.staged = self.workers[index].staged;
         next.report(self.now);
-        self.lives += 1;
+        self.started += 1;
         self.workers.push(next);
     }
 
-    /// Ends a worker, which starts again at once under its name. What is on its way to its name
-    /// reaches the new life, which knows nothing.
-    pub fn rebirth(&mut self, index: usize) {
-        let late = std::mem::take(&mut self.workers[index].late);
+    /// Terminates a worker and restarts it at once under the same name. Orders in flight to the name
+    /// reach the new instance, which has no state of the former one.
+    pub fn restart(&mut self, index: usize) {
+        let late_orders = std::mem::take(&mut self.workers[index].late_orders);
         let former = &mut self.workers[index];
         former.alive = false;
         former.membership = None;
-        let born = former.id.incarnation().map_or(1, |born| born.0 + 1);
-        let id = WorkerId::of_life(former.id.name(), Some(Incarnation(born)));
-        let (staged, cut_until) = (former.staged, former.cut_until);
-        let mut next =
-            StandinWorker { staged, late, cut_until, ..StandinWorker::new(id.to_string()) };
-        if !next.is_cut(self.now) {
+        let incarnation = former.id.incarnation().map_or(1, |incarnation| incarnation.0 + 1);
+        let id = WorkerId::of_life(former.id.name(), Some(Incarnation(incarnation)));
+        let (staged, partitioned_until) = (former.staged, former.partitioned_until);
+        let mut next = SimulatedWorker {
+            staged,
+            late_orders,
+            partitioned_until,
+            ..SimulatedWorker::new(id.to_string())
+        };
+        if !next.is_partitioned(self.now) {
             next.report(self.now);
         }
         self.workers.push(next);
     }
 
-    /// Has a leader act on what it heard; a part of its orders goes astray.
+    /// Runs one step of a leader on the last reports. `faults` is the probability that an order is
+    /// delivered with a fault.
     pub fn step(&mut self, controller: &mut ReplicaController, faults: f64) {
         let reports: Vec<(WorkerReport, Instant, WorkerStatus)> = self
             .workers
             .iter()
             .filter_map(|worker| {
-                let (report, at) = worker.heard.clone()?;
-                let standing = match worker.alive && !worker.is_cut(self.now) {
+                let (report, at) = worker.last_report.clone()?;
+                let standing = match worker.alive && !worker.is_partitioned(self.now) {
                     true => WorkerStatus::Usable,
-                    // It was probed, and the new life has answered.
-                    false if self.is_reborn(worker) => WorkerStatus::Dead,
+                    // A probe was answered by the new instance.
+                    false if self.is_restarted(worker) => WorkerStatus::Dead,
                     false => WorkerStatus::Lost,
                 };
                 Some((report, at, standing))
@@ -392,16 +397,16 @@
 
     fn deliver(&mut self, ticket: &OrderTicket, faults: f64) -> OrderOutcome {
         let Some(index) = self.index_of(&ticket.worker) else { return OrderOutcome::Unreached };
-        if self.workers[index].is_cut(self.now) {
+        if self.workers[index].is_partitioned(self.now) {
             return OrderOutcome::Unreached;
         }
         match self.draw_fault(faults) {
             Some(OrderFault::Lost) => OrderOutcome::Unknown,
             Some(OrderFault::Unreached) => OrderOutcome::Unreached,
             Some(OrderFault::Late(delay)) => {
-                // Joins that come late and twice are what epochs fence; leaving late is harmless.
+                // Epochs fence joins that arrive late and twice. A late leave has no effect.
                 let at = self.now + delay;
-                self.workers[index].late.push((at, ticket.order.clone()));
+                self.workers[index].late_orders.push((at, ticket.order.clone()));
                 OrderOutcome::Unknown
             }
             Some(OrderFault::AnswerLost) => {
@@ -431,7 +436,7 @@
         })
     }
 
-    /// Replicas that serve and are whole.
+    /// Returns the number of complete serving replicas.
     pub fn serving(&self) -> usize {
         let mut epochs: BTreeMap<u64, usize> = BTreeMap::new();
         for worker in self.workers.iter().filter(|worker| worker.alive) {
@@ -440,17 +445,17 @@
             }
         }
         let open = self.workers.iter().filter(|worker| worker.is_open());
-        let whole = open.filter(|worker| {
+        let complete = open.filter(|worker| {
             worker.membership.as_ref().is_some_and(|held| epochs[&*held.name.epoch] == self.size)
         });
-        whole.count()
+        complete.count()
     }
 }
 
-/// A leader that believes after half a second that it has heard of every worker, and that orders
-/// come late by no more than `late`.
-pub fn new_leader(term: u64, now: Instant, late: Duration) -> ReplicaController {
+/// Creates a leader that treats its set of workers as complete after half a second, and that
+/// expects orders to be delayed by at most `max_order_delay`.
+pub fn new_leader(term: u64, now: Instant, max_order_delay: Duration) -> ReplicaController {
     let times =
         LeaderTimes { term_start: now, settled: now + Duration::from_millis(500), loads_from: now };
-    ReplicaController::new(timing(late), Term(term), times)
+    ReplicaController::new(timing(max_order_delay), Term(term), times)
 }
--- a/crates/fleet/tests/term.rs
+++ b/crates/fleet/tests/term.rs
@@ -1,10 +1,10 @@
-//! What a leader keeps over a moment in which it was not sure to lead.
+//! State that a leader keeps while it has no contact with its majority.
 
 use hollowbarrow_fleet::TermState;
 use hollowbarrow_schema::Term;
 use rstest::rstest;
 
-/// Numbers given out by a leader, as it gives out epochs.
+/// Counter of a leader, like that of epochs.
 #[derive(Debug, Default)]
 struct Counter(u64);
 
@@ -15,8 +15,8 @@
     }
 }
 
-/// A leader that is unsure between two steps takes none; its next step is in the same term, or in
-/// a later one if another daemon led meanwhile.
+/// A leader that loses contact with its majority takes no step. Its next step is in the same term,
+/// or in a later one if another daemon led meanwhile.
 #[rstest]
 #[case::same_term(3, 3, [1, 2])]
 #[case::later_term(3, 4, [1, 1])]
@@ -27,9 +27,9 @@
     assert_eq!([before, after], given);
 }
 
-/// Outcomes of orders come in while the leader is unsure too.
+/// Outcomes of orders also arrive while the leader has no contact with its majority.
 #[rstest]
-fn newest_is_there_while_unsure() {
+fn newest_without_enter() {
     let mut terms: TermState<Counter> = TermState::new();
     assert!(terms.newest().is_none());
     terms.enter(Term(1), Counter::default).next();
--- a/crates/fleet/tests/versions.rs
+++ b/crates/fleet/tests/versions.rs
@@ -1,4 +1,4 @@
-//! For how long a daemon lacks a version of the configuration.
+//! The lag of a daemon behind the known versions of the configuration.
 
 use std::time::Duration;
 
@@ -32,6 +32,9 @@
     for version in 1..=1000 {
         times.record(u64::from(version), start + MS * version);
     }
-    assert!(times.lag(0, start + MS * 1000) > MS * 250, "many versions are remembered");
+    assert!(
+        times.lag(0, start + MS * 1000) > MS * 250,
+        "the lag of a forgotten version is counted from the oldest kept version"
+    );
     assert_eq!(times.lag(999, start + MS * 1000), Duration::ZERO);
 }
--- a/crates/fleet/tests/workers.rs
+++ b/crates/fleet/tests/workers.rs
@@ -1,4 +1,5 @@
-//! The table of workers against a naive one: whatever the order, the newest report of each counts.
+//! The worker table against a reference implementation: in any order of reports the newest one of
+//! each worker takes precedence.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,11 +44,11 @@
     let now = Instant::now();
     let mut table = WorkerTable::new();
     table.merge(report(1, 5, false), now);
-    let removed = table.remove(&WorkerId::from("w1"), now).expect("the worker was there");
+    let removed = table.remove(&WorkerId::from("w1"), now).expect("the worker was registered");
     assert!(removed.gone);
     assert_eq!(table.remove(&WorkerId::from("w1"), now), None);
     table.merge(report(1, 9, false), now);
-    assert!(table.get(&WorkerId::from("w1")).expect("it is remembered").report.gone);
+    assert!(table.get(&WorkerId::from("w1")).expect("the departed worker is kept").report.gone);
 }
 
 #[rstest]
@@ -58,9 +59,9 @@
     table.merge(report(1, 5, false), start);
     let beat = |seq| WorkerBeat { id: WorkerId::from("w1"), seq, changed: 1, recount: None };
     assert!(table.renew(&beat(4), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").last_received, start);
+    assert_eq!(table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received, start);
     assert!(table.renew(&beat(6), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("there").last_received, later);
+    assert_eq!(table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received, later);
     assert!(
         !table.renew(
             &WorkerBeat { id: WorkerId::from("w9"), seq: 1, changed: 1, recount: None },
@@ -69,7 +70,7 @@
     );
 }
 
-/// A daemon that heard only of later numbers still takes the content that it missed.
+/// A daemon that received only later sequence numbers still accepts the content that it missed.
 #[rstest]
 fn merge_content_missed_before_beats() {
     let now = Instant::now();
@@ -82,12 +83,12 @@
         )
     );
     assert_eq!(table.merge(report(1, 7, true), now), MergeOutcome::Changed);
-    assert!(table.get(&WorkerId::from("w1")).expect("there").report.leaving);
+    assert!(table.get(&WorkerId::from("w1")).expect("the worker is in the table").report.leaving);
 }
 
-/// A beat confirms what is held only where the worker has said nothing new since.
+/// A beat confirms the stored content only if the worker has not changed it since.
 #[rstest]
-#[case::nothing_new(5, true)]
+#[case::unchanged(5, true)]
 #[case::missed_change(8, false)]
 fn renew_confirms_content(#[case] changed: u64, #[case] confirmed: bool) {
     let start = Instant::now();
@@ -95,12 +96,12 @@
     let mut table = WorkerTable::new();
     table.merge(report(1, 5, false), start);
     table.renew(&WorkerBeat { id: WorkerId::from("w1"), seq: 9, changed, recount: None }, later);
-    let entry = table.get(&WorkerId::from("w1")).expect("there");
+    let entry = table.get(&WorkerId::from("w1")).expect("the worker is in the table");
     assert_eq!(entry.last_received, later);
     assert_eq!(entry.confirmed, if confirmed { later } else { start });
 }
 
-/// What a worker confirmed under a later number is not undone by an older report.
+/// An older report does not overwrite content that was confirmed under a later sequence number.
 #[rstest]
 fn merge_older_content_after_confirmation() {
     let now = Instant::now();
@@ -111,7 +112,7 @@
 }
 
 #[rstest]
-fn digest_same_content_under_other_numbers() {
+fn table_hash_same_content_under_other_numbers() {
     let now = Instant::now();
     let (mut one, mut other) = (WorkerTable::new(), WorkerTable::new());
     one.merge(report(1, 5, false), now);
@@ -122,15 +123,15 @@
 }
 
 proptest! {
-    /// Two tables that got the same reports in other orders, some of them twice, are equal, and
-    /// hold what a naive table holds.
+    /// Two tables that received the same reports in different orders, one of them each report
+    /// twice, are equal and match the reference implementation.
     #[test]
     fn merge_any_order(
         reports in proptest::collection::vec((0u8..4, 1u64..12, any::<bool>()), 1..40),
         order in any::<u64>(),
     ) {
         let now = Instant::now();
-        // One number names one content, as with real workers.
+        // Each sequence number has one content, as with real workers.
         let mut contents: BTreeMap<(u8, u64), bool> = BTreeMap::new();
         for (id, seq, leaving) in &reports {
             contents.entry((*id, *seq)).or_insert(*leaving);
@@ -151,25 +152,25 @@
             other.merge(sent.clone(), now);
         }
         prop_assert_eq!(one.table_hash(), other.table_hash());
-        let mut naive: BTreeMap<WorkerId, WorkerReport> = BTreeMap::new();
+        let mut reference: BTreeMap<WorkerId, WorkerReport> = BTreeMap::new();
         for sent in &sent {
-            let newest = naive.entry(sent.id.clone()).or_insert_with(|| sent.clone());
+            let newest = reference.entry(sent.id.clone()).or_insert_with(|| sent.clone());
             if sent.seq > newest.seq {
                 *newest = sent.clone();
             }
         }
-        for (id, newest) in &naive {
-            let held = one.get(id).expect("every worker is held");
+        for (id, newest) in &reference {
+            let held = one.get(id).expect("every reported worker is in the table");
             prop_assert_eq!(held.seq, newest.seq);
             prop_assert_eq!(held.report.leaving, newest.leaving);
         }
     }
 }
 
-/// A worker that deregisters serves on for at least two seconds.
+/// A worker that deregisters is listed for two more seconds, in which it drains.
 #[rstest]
-#[case::serves_on(1900, true)]
-#[case::has_ended(2100, false)]
+#[case::draining(1900, true)]
+#[case::drained(2100, false)]
 fn of_service_after_removal(#[case] elapsed_ms: u64, #[case] listed: bool) {
     let start = Instant::now();
     let mut table = WorkerTable::new();
