--- a/crates/fleet/src/deployment.rs
+++ b/crates/fleet/src/deployment.rs
@@ -142,7 +142,7 @@
         service: String,
     },
     /// Two routes share a host and prefix.
-    #[error("routes.{second}: {host}{prefix} is already the place of {first}")]
+    #[error("routes.{second}: {host}{prefix} is already used by {first}")]
     DuplicateRoute {
         /// Route that came first.
         first: String,
@@ -174,13 +174,13 @@
         prefix: String,
     },
     /// Two services share a name.
-    #[error("services.{name}: the name stands twice")]
+    #[error("services.{name}: the name is used twice")]
     DuplicateService {
         /// The name.
         name: String,
     },
     /// Two organisations share a key.
-    #[error("organisations.{second}: a key is already one of {first}")]
+    #[error("organisations.{second}: a key is already used by {first}")]
     SharedKey {
         /// Organisation that came first.
         first: String,
--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -57,7 +57,7 @@
 #[case::unknown_service(|d: &mut Deployment| d.routes[0].split[0].0 = ServiceName("x".to_owned()),
     "routes.r: the service x is not in the document")]
 #[case::duplicate_route(|d: &mut Deployment| d.routes.push(route("s", "h", "/a/")),
-    "routes.s: h/a/ is already the place of r")]
+    "routes.s: h/a/ is already used by r")]
 #[case::no_weight(|d: &mut Deployment| d.routes[0].split[0].1 = 0,
     "routes.r.weights: they add up to 0")]
 #[case::no_timeout(|d: &mut Deployment| d.routes[0].timeout = Duration::ZERO,
@@ -66,7 +66,7 @@
     "routes.r.prefix: \"/a\" does not begin and end with a slash")]
 #[case::shared_key(|d: &mut Deployment| {
         d.organisations.as_mut().expect("the configuration has organisations").push(organisation("owner", &["k2"]));
-    }, "organisations.owner: a key is already one of family")]
+    }, "organisations.owner: a key is already used by family")]
 fn check_fault(#[case] break_field: fn(&mut Deployment), #[case] expected: &str) {
     let mut broken = deployment(vec![route("r", "h", "/a/")]);
     break_field(&mut broken);
