--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The planner against a naive one, and the invariants of every plan.
+//! The planner against a reference implementation, and the invariants of every plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -70,14 +70,14 @@
     numbers.flat_map(|(domain, count)| (0..*count).map(move |n| node(domain, n, tier))).collect()
 }
 
-/// Forms of a plan, as the replicas that they become.
-fn carry_out(replicas: &[ReplicaView], plan: &ZonePlan) -> Vec<ReplicaView> {
-    let gone = |replica: &ReplicaView| {
+/// Returns the replicas after a plan is carried out, without regard to the time that this takes.
+fn apply_plan(replicas: &[ReplicaView], plan: &ZonePlan) -> Vec<ReplicaView> {
+    let drained = |replica: &ReplicaView| {
         plan.drains.iter().any(|drain| {
             drain.group == replica.allocation.group && drain.slot == replica.allocation.slot
         })
     };
-    let mut after: Vec<ReplicaView> = replicas.iter().filter(|r| !gone(r)).cloned().collect();
+    let mut after: Vec<ReplicaView> = replicas.iter().filter(|r| !drained(r)).cloned().collect();
     for form in &plan.forms {
         let mut replica = replicas
             .first()
@@ -96,11 +96,17 @@
     let mut taken = BTreeSet::new();
     for replica in after {
         let allocation = &replica.allocation;
-        let demand = demands.iter().find(|d| d.spec.name == allocation.group).expect("asked for");
+        let demand = demands
+            .iter()
+            .find(|d| d.spec.name == allocation.group)
+            .expect("every replica has a demand");
         assert_eq!(allocation.members.len(), demand.spec.size as usize);
         for member in &allocation.members {
             assert!(taken.insert(member.clone()), "{} is in two replicas", **member);
-            let node = nodes.iter().find(|node| node.id == *member).expect("listed");
+            let node = nodes
+                .iter()
+                .find(|node| node.id == *member)
+                .expect("every member is a node of the zone");
             assert_eq!(node.domain, allocation.domain, "a replica spans two domains");
             assert!(demand.spec.selector.matches(&node.labels));
             assert!(node.is_available());
@@ -115,23 +121,24 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// One group: as many replicas as a naive count of whole ones in each domain.
+    /// One group: as many replicas as the sum over the domains of the complete replicas that fit.
     #[test]
-    fn plan_one_group_naive(domains in domains(), size in 1u32..7, wanted in 0u32..12) {
+    fn plan_one_group_reference(domains in domains(), size in 1u32..7, wanted in 0u32..12) {
         let nodes = nodes_of(&domains, "fast");
         let demands =
             vec![GroupDemand { spec: spec("g", size, None, Urgency::Normal), wanted }];
         let plan = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone()).plan();
-        let naive: u32 = domains.iter().map(|count| *count as u32 / size).sum();
-        prop_assert_eq!(plan.forms.len() as u32, naive.min(wanted));
+        let reference: u32 = domains.iter().map(|count| *count as u32 / size).sum();
+        prop_assert_eq!(plan.forms.len() as u32, reference.min(wanted));
         let missing = plan.missing.values().sum::<u32>();
-        prop_assert_eq!(missing, wanted - naive.min(wanted));
-        check_invariants(&nodes, &demands, &carry_out(&[], &plan));
+        prop_assert_eq!(missing, wanted - reference.min(wanted));
+        check_invariants(&nodes, &demands, &apply_plan(&[], &plan));
     }
 
-    /// Several groups with losses: invariants hold, nothing whole moves, and it settles.
+    /// Several groups with lost nodes: the invariants hold, no replica without a loss moves, and
+    /// the next plan is empty.
     #[test]
-    fn plan_losses_settles(
+    fn plan_losses_converges(
         domains in domains(),
         sizes in prop::collection::vec((1u32..5, 0u32..4, 0u8..3), 1..4),
         lost in prop::collection::vec(any::<prop::sample::Index>(), 0..4),
@@ -147,7 +154,7 @@
             })
             .collect();
         let planner = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone());
-        let before = carry_out(&[], &planner.plan());
+        let before = apply_plan(&[], &planner.plan());
         check_invariants(&nodes, &demands, &before);
         for index in &lost {
             if !nodes.is_empty() {
@@ -157,29 +164,29 @@
         let planner =
             GroupPlanner::new(demands.clone()).with_nodes(nodes.clone()).with_replicas(before.clone());
         let plan = planner.plan();
-        let whole = |replica: &ReplicaView| {
+        let intact = |replica: &ReplicaView| {
             replica.allocation.members.iter().all(|member| {
                 nodes.iter().any(|node| node.id == *member && node.unusable.is_none())
             })
         };
-        for replica in before.iter().filter(|replica| whole(replica)) {
+        for replica in before.iter().filter(|replica| intact(replica)) {
             let drained = plan.drains.iter().any(|drain| {
                 drain.group == replica.allocation.group && drain.slot == replica.allocation.slot
             });
-            prop_assert!(!drained, "a whole replica was moved");
+            prop_assert!(!drained, "a replica without a loss was drained");
         }
-        let after = carry_out(&before, &plan);
+        let after = apply_plan(&before, &plan);
         check_invariants(&nodes, &demands, &after);
         let again = GroupPlanner::new(demands.clone())
             .with_nodes(nodes.clone())
             .with_replicas(after)
             .plan();
-        prop_assert!(again.drains.is_empty() && again.forms.is_empty(), "it does not settle");
+        prop_assert!(again.drains.is_empty() && again.forms.is_empty(), "the next plan is not empty");
     }
 }
 
 #[rstest]
-fn plan_repair_keeps_survivors() {
+fn plan_repair_keeps_ranks() {
     let mut nodes = nodes_of(&[4, 4], "fast");
     let members: Vec<&NodeView> = nodes[4..7].iter().collect();
     let replicas = vec![serving("g", 0, &members)];
@@ -188,7 +195,7 @@
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert!(matches!(plan.drains[0].reason, DrainReason::MemberLost { .. }));
     let members: Vec<&str> = plan.forms[0].members.iter().map(|node| node.as_str()).collect();
-    assert_eq!(members, ["d1-n0", "d1-n3", "d1-n2"], "survivors keep their ranks");
+    assert_eq!(members, ["d1-n0", "d1-n3", "d1-n2"], "remaining members did not keep their ranks");
 }
 
 #[rstest]
@@ -213,14 +220,14 @@
     let planner = GroupPlanner::new(demands)
         .with_nodes(nodes.clone())
         .with_replicas(vec![serving("urgent", 0, &members)]);
-    assert!(planner.plan().forms.is_empty(), "the batch group took the spare");
+    assert!(planner.plan().forms.is_empty(), "the batch group used the spare");
 }
 
 #[rstest]
 #[case("version")]
 #[case("selector")]
 #[case("unmanaged")]
-fn plan_change_rolls(#[case] change: &str) {
+fn plan_change_drains_one_by_one(#[case] change: &str) {
     let mut nodes = nodes_of(&[4], "fast");
     let first: Vec<&NodeView> = nodes[0..2].iter().collect();
     let second: Vec<&NodeView> = nodes[2..4].iter().collect();
@@ -233,8 +240,8 @@
     }
     let demand = GroupDemand { spec: wanted, wanted: 2 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
-    assert_eq!(plan.drains.len(), 1, "one replica at a time");
-    assert!(!plan.drains[0].reason.is_loss(), "what can still serve is drained");
+    assert_eq!(plan.drains.len(), 1, "not exactly one replica is drained");
+    assert!(!plan.drains[0].reason.is_loss(), "a replica that can still serve was treated as lost");
 }
 
 #[rstest]
@@ -246,7 +253,7 @@
     let demand = GroupDemand { spec: spec("g", 2, None, Urgency::Normal), wanted: 1 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert!(matches!(plan.drains[0].reason, DrainReason::NodeLeaving { .. }));
-    assert_eq!(plan.forms.len(), 1, "the replacement forms while the old one drains");
+    assert_eq!(plan.forms.len(), 1, "the replacement is not formed while the old replica drains");
     assert!(!plan.forms[0].members.contains(&NodeId::from("d0-n0")));
 }
 
