--- a/crates/fleet/src/workers.rs
+++ b/crates/fleet/src/workers.rs
@@ -36,7 +36,7 @@
 pub enum MergeOutcome {
     /// The report is not newer than the stored one.
     Stale,
-    /// The report is newer and has the same content.
+    /// The report is newer and does not change the content.
     Renewed,
     /// The report changes the content.
     Changed,
@@ -113,23 +113,27 @@
         now: Instant,
     ) -> MergeOutcome {
         let name = report.id.name().to_owned();
-        let Some(held) = self.newest_instance(&name) else { return self.merge(report, now) };
-        report.recount = held.report.recount;
-        let same_instance = held.report.id == report.id;
+        let Some(stored) = self.newest_instance(&name) else { return self.merge(report, now) };
+        report.recount = stored.report.recount;
+        let same_instance = stored.report.id == report.id;
         let older = if same_instance {
-            report.seq <= held.report.seq
+            report.seq <= stored.report.seq
         } else {
-            precedence_of(&report) < held.precedence()
+            precedence_of(&report) < stored.precedence()
         };
         if !older {
             self.regressions.remove(&name);
             return self.merge(report, now);
         }
-        let comparable =
-            report.id.incarnation().is_some() || held.report.id.incarnation().is_none();
-        let departed = same_instance && held.report.gone;
-        let silent = now.saturating_duration_since(held.last_received) > silence;
-        if !comparable || departed || !silent || !self.regression_persists(&report, silence, now) {
+        let start_time_kept =
+            report.id.incarnation().is_some() || stored.report.id.incarnation().is_none();
+        let departed = same_instance && stored.report.gone;
+        let silent = now.saturating_duration_since(stored.last_received) > silence;
+        if !start_time_kept
+            || departed
+            || !silent
+            || !self.regression_persists(&report, silence, now)
+        {
             return MergeOutcome::Stale;
         }
         self.regressions.remove(&name);
@@ -147,21 +151,21 @@
         now: Instant,
     ) -> bool {
         let first = Regression { id: report.id.clone(), seq: report.seq, since: now };
-        let held = self.regressions.entry(report.id.name().to_owned()).or_insert(first.clone());
-        let elapsed = now.saturating_duration_since(held.since);
-        if held.id != report.id || report.seq < held.seq || elapsed > silence * 2 {
-            *held = first;
+        let stored = self.regressions.entry(report.id.name().to_owned()).or_insert(first.clone());
+        let elapsed = now.saturating_duration_since(stored.since);
+        if stored.id != report.id || report.seq < stored.seq || elapsed > silence * 2 {
+            *stored = first;
             return false;
         }
-        held.seq = report.seq;
+        stored.seq = report.seq;
         elapsed >= silence / REGRESSION_TIME_DIVISOR
     }
 
     /// Merges a report that another daemon forwarded.
     pub fn merge(&mut self, report: WorkerReport, now: Instant) -> MergeOutcome {
         let newest = self.newest_instance(report.id.name());
-        if newest.is_some_and(|held| {
-            held.report.id != report.id && precedence_of(&report) < held.precedence()
+        if newest.is_some_and(|stored| {
+            stored.report.id != report.id && precedence_of(&report) < stored.precedence()
         }) {
             return MergeOutcome::Stale;
         }
--- a/crates/fleet/tests/workers.rs
+++ b/crates/fleet/tests/workers.rs
@@ -59,9 +59,15 @@
     table.merge(report(1, 5, false), start);
     let beat = |seq| WorkerBeat { id: WorkerId::from("w1"), seq, changed: 1, recount: None };
     assert!(table.renew(&beat(4), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received, start);
+    assert_eq!(
+        table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received,
+        start
+    );
     assert!(table.renew(&beat(6), later));
-    assert_eq!(table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received, later);
+    assert_eq!(
+        table.get(&WorkerId::from("w1")).expect("the worker is in the table").last_received,
+        later
+    );
     assert!(
         !table.renew(
             &WorkerBeat { id: WorkerId::from("w9"), seq: 1, changed: 1, recount: None },
