--- a/crates/daemon/src/operator_view.rs
+++ b/crates/daemon/src/operator_view.rs
@@ -144,7 +144,7 @@
             .map(|(zone, allocation)| replica_status(&fleet, zone, allocation))
             .collect();
         let demand = zone_demands(config, core.zone()).into_iter().find(|d| d.spec.name == *name);
-        let wanted_here = demand.map_or(0, |demand| demand.wanted);
+        let wanted_here = demand.map_or(0, |demand| demand.desired);
         let mut unblock = Vec::new();
         let serving = fleet.serving_count(name, now);
         if let Some(missing) = plan.missing.get(name) {
--- a/crates/daemon/src/zone_demand.rs
+++ b/crates/daemon/src/zone_demand.rs
@@ -16,7 +16,7 @@
         .map(|recorded| {
             let quota = config.quotas().get(&recorded.value.name);
             let wanted = quota.and_then(|quota| quota.value.counts.get(&**zone)).copied();
-            GroupDemand { spec: recorded.value.clone(), wanted: wanted.unwrap_or(0) }
+            GroupDemand { spec: recorded.value.clone(), desired: wanted.unwrap_or(0) }
         })
         .collect()
 }
--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -127,7 +127,7 @@
         let demands: Vec<GroupDemand> = (0..groups)
             .map(|number| {
                 let wanted = (size / 8 / groups) as u32;
-                GroupDemand { spec: group_spec(number), wanted }
+                GroupDemand { spec: group_spec(number), desired: wanted }
             })
             .collect();
         let planner = GroupPlanner::new(demands).with_nodes(nodes);
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -36,7 +36,7 @@
     /// Specification by the operator.
     pub spec: GroupSpec,
     /// Desired replicas in this zone.
-    pub wanted: u32,
+    pub desired: u32,
 }
 
 /// A current allocation and the state of its replica.
@@ -328,7 +328,7 @@
             .map(|replica| (!replica.serving, replica.allocation.slot))
             .collect();
         slots.sort_unstable();
-        slots.into_iter().skip(demand.wanted as usize).map(|(_, slot)| slot).collect()
+        slots.into_iter().skip(demand.desired as usize).map(|(_, slot)| slot).collect()
     }
 
     fn form_missing(
@@ -353,7 +353,7 @@
                 None => staying += 1,
             }
         }
-        let missing = demand.wanted.saturating_sub(staying);
+        let missing = demand.desired.saturating_sub(staying);
         let mut slots = (0u32..).filter(|slot| !used_slots.contains(slot));
         for position in 0..missing {
             let replaced = lost.get(position as usize).copied();
@@ -408,7 +408,7 @@
     fn other_uses(&self, spec: &GroupSpec, node: &NodeView) -> usize {
         self.demands
             .iter()
-            .filter(|demand| demand.spec.name != spec.name && demand.wanted > 0)
+            .filter(|demand| demand.spec.name != spec.name && demand.desired > 0)
             .filter(|demand| demand.spec.selector.matches(&node.labels))
             .count()
     }
--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -126,7 +126,7 @@
     fn plan_one_group_reference(domains in domains(), size in 1u32..7, wanted in 0u32..12) {
         let nodes = nodes_of(&domains, "fast");
         let demands =
-            vec![GroupDemand { spec: spec("g", size, None, Urgency::Normal), wanted }];
+            vec![GroupDemand { spec: spec("g", size, None, Urgency::Normal), desired: wanted }];
         let plan = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone()).plan();
         let reference: u32 = domains.iter().map(|count| *count as u32 / size).sum();
         prop_assert_eq!(plan.forms.len() as u32, reference.min(wanted));
@@ -150,7 +150,7 @@
             .map(|(number, (size, wanted, urgency))| {
                 let urgency = [Urgency::Urgent, Urgency::Normal, Urgency::Batch][*urgency as usize];
                 let spec = spec(&format!("g{number}"), *size, None, urgency);
-                GroupDemand { spec, wanted: *wanted }
+                GroupDemand { spec, desired: *wanted }
             })
             .collect();
         let planner = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone());
@@ -191,7 +191,7 @@
     let members: Vec<&NodeView> = nodes[4..7].iter().collect();
     let replicas = vec![serving("g", 0, &members)];
     nodes[5].unusable = Some("lost".to_owned());
-    let demand = GroupDemand { spec: spec("g", 3, None, Urgency::Normal), wanted: 1 };
+    let demand = GroupDemand { spec: spec("g", 3, None, Urgency::Normal), desired: 1 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert!(matches!(plan.drains[0].reason, DrainReason::MemberLost { .. }));
     let members: Vec<&str> = plan.forms[0].members.iter().map(|node| node.as_str()).collect();
@@ -201,7 +201,7 @@
 #[rstest]
 fn plan_domain_full() {
     let nodes = nodes_of(&[2, 2], "fast");
-    let demand = GroupDemand { spec: spec("g", 3, None, Urgency::Normal), wanted: 1 };
+    let demand = GroupDemand { spec: spec("g", 3, None, Urgency::Normal), desired: 1 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).plan();
     assert!(plan.forms.is_empty(), "a replica must not span two domains");
     assert_eq!(plan.missing.get(&GroupName::from("g")), Some(&1));
@@ -214,8 +214,8 @@
     let mut urgent = spec("urgent", 2, None, Urgency::Urgent);
     urgent.spares = 1;
     let demands = vec![
-        GroupDemand { spec: urgent, wanted: 1 },
-        GroupDemand { spec: spec("batch", 2, None, Urgency::Batch), wanted: 1 },
+        GroupDemand { spec: urgent, desired: 1 },
+        GroupDemand { spec: spec("batch", 2, None, Urgency::Batch), desired: 1 },
     ];
     let planner = GroupPlanner::new(demands)
         .with_nodes(nodes.clone())
@@ -238,7 +238,7 @@
         "selector" => wanted.selector = spec("g", 2, Some("slow"), Urgency::Normal).selector,
         _ => nodes.iter_mut().for_each(|node| node.unmanaged = Some("taken back".to_owned())),
     }
-    let demand = GroupDemand { spec: wanted, wanted: 2 };
+    let demand = GroupDemand { spec: wanted, desired: 2 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert_eq!(plan.drains.len(), 1, "not exactly one replica is drained");
     assert!(!plan.drains[0].reason.is_loss(), "a replica that can still serve was treated as lost");
@@ -250,7 +250,7 @@
     let members: Vec<&NodeView> = nodes[0..2].iter().collect();
     let replicas = vec![serving("g", 0, &members)];
     nodes[0].leaving = true;
-    let demand = GroupDemand { spec: spec("g", 2, None, Urgency::Normal), wanted: 1 };
+    let demand = GroupDemand { spec: spec("g", 2, None, Urgency::Normal), desired: 1 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert!(matches!(plan.drains[0].reason, DrainReason::NodeLeaving { .. }));
     assert_eq!(plan.forms.len(), 1, "the replacement is not formed while the old replica drains");
