--- a/crates/fleet/src/replicas/lifecycle.rs
+++ b/crates/fleet/src/replicas/lifecycle.rs
@@ -65,7 +65,8 @@
                 "event=replica_released replica={} reason={reason:?}",
                 replica.name.to_text()
             );
-            // A head that may still carry out a late join of this epoch may rejoin the replica that it has left.
+            // A head that may still carry out a late join of this epoch may rejoin the replica
+            // after it has left.
             let may_rejoin = self.may_still_join(replica.head(), epoch);
             if !may_rejoin && (replica.head_left || !replica.opened) {
                 self.vacated.insert(epoch);
--- a/crates/fleet/tests/deployment.rs
+++ b/crates/fleet/tests/deployment.rs
@@ -65,7 +65,8 @@
 #[case::bad_prefix(|d: &mut Deployment| d.routes[0].prefix = "/a".to_owned(),
     "routes.r.prefix: \"/a\" does not begin and end with a slash")]
 #[case::shared_key(|d: &mut Deployment| {
-        d.organisations.as_mut().expect("the configuration has organisations").push(organisation("owner", &["k2"]));
+        let organisations = d.organisations.as_mut().expect("the configuration has organisations");
+        organisations.push(organisation("owner", &["k2"]));
     }, "organisations.owner: a key is already used by family")]
 fn check_fault(#[case] break_field: fn(&mut Deployment), #[case] expected: &str) {
     let mut broken = deployment(vec![route("r", "h", "/a/")]);
--- a/crates/fleet/tests/instances.rs
+++ b/crates/fleet/tests/instances.rs
@@ -72,14 +72,14 @@
     let mut table = WorkerTable::new();
     table.merge(report(&instance(5), 7, 4), now);
     table.merge(report(&instance(6), 1, 4), now);
-    let (digest, revision) = (table.table_hash(), table.revision());
+    let (hash, revision) = (table.table_hash(), table.revision());
     let late = now + HEARTBEAT;
     assert_eq!(table.merge_direct(report(&instance(5), 8, 9), SILENCE, late), MergeOutcome::Stale);
     assert_eq!(table.merge(report(&instance(5), 9, 9), late), MergeOutcome::Stale);
     assert_eq!(table.merge(report(&instance(4), 9, 9), late), MergeOutcome::Stale);
     assert_eq!(table.remove(&instance(5), late), None);
     table.renew(&WorkerBeat { id: instance(5), seq: 99, recount: None, changed: 1 }, late);
-    assert_eq!((table.table_hash(), table.revision()), (digest, revision));
+    assert_eq!((table.table_hash(), table.revision()), (hash, revision));
     assert_eq!(newest(&table), &instance(6));
 }
 
@@ -208,10 +208,13 @@
     let (table, incarnation, seq) = (0usize..3, 1u64..5, 1u64..6);
     prop_oneof![
         4 => (table.clone(), incarnation.clone(), seq.clone())
-            .prop_map(|(table, incarnation, seq)| TableOperation::Report { table, incarnation, seq }),
+            .prop_map(|(table, incarnation, seq)| {
+                TableOperation::Report { table, incarnation, seq }
+            }),
         1 => (table.clone(), incarnation.clone(), seq)
             .prop_map(|(table, incarnation, seq)| TableOperation::Beat { table, incarnation, seq }),
-        1 => (table.clone(), incarnation).prop_map(|(table, incarnation)| TableOperation::Remove { table, incarnation }),
+        1 => (table.clone(), incarnation)
+            .prop_map(|(table, incarnation)| TableOperation::Remove { table, incarnation }),
         2 => (table.clone(), table).prop_map(|(from, to)| TableOperation::Exchange { from, to }),
     ]
 }
@@ -244,7 +247,8 @@
                     *highest = (*highest).max(*seq);
                 }
                 TableOperation::Beat { table, incarnation, seq } => {
-                    let beat = WorkerBeat { id: instance(*incarnation), seq: *seq, recount: None, changed: 1 };
+                    let id = instance(*incarnation);
+                    let beat = WorkerBeat { id, seq: *seq, recount: None, changed: 1 };
                     tables[*table].renew(&beat, now);
                 }
                 TableOperation::Remove { table, incarnation } => {
@@ -267,7 +271,8 @@
         }
         let newest = reported.keys().max().map(|incarnation| instance(*incarnation));
         for table in &tables {
-            prop_assert_eq!(table.newest_instance("w").map(|held| &held.report.id), newest.as_ref());
+            let stored = table.newest_instance("w").map(|entry| &entry.report.id);
+            prop_assert_eq!(stored, newest.as_ref());
             prop_assert_eq!(table.table_hash(), tables[0].table_hash());
             let available = table.iter().filter(|entry| entry.is_available()).count();
             prop_assert!(available <= 1, "more than one instance is available");
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -339,8 +339,8 @@
         self.workers.push(next);
     }
 
-    /// Terminates a worker and restarts it at once under the same name. Orders in flight to the name
-    /// reach the new instance, which has no state of the former one.
+    /// Terminates a worker and restarts it at once under the same name. Orders in flight to the
+    /// name reach the new instance, which has no memberships of the former one.
     pub fn restart(&mut self, index: usize) {
         let late_orders = std::mem::take(&mut self.workers[index].late_orders);
         let former = &mut self.workers[index];
--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -123,15 +123,15 @@
 
     /// One group: as many replicas as the sum over the domains of the complete replicas that fit.
     #[test]
-    fn plan_one_group_reference(domains in domains(), size in 1u32..7, wanted in 0u32..12) {
+    fn plan_one_group_reference(domains in domains(), size in 1u32..7, desired in 0u32..12) {
         let nodes = nodes_of(&domains, "fast");
         let demands =
-            vec![GroupDemand { spec: spec("g", size, None, Urgency::Normal), desired: wanted }];
+            vec![GroupDemand { spec: spec("g", size, None, Urgency::Normal), desired }];
         let plan = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone()).plan();
         let reference: u32 = domains.iter().map(|count| *count as u32 / size).sum();
-        prop_assert_eq!(plan.forms.len() as u32, reference.min(wanted));
+        prop_assert_eq!(plan.forms.len() as u32, reference.min(desired));
         let missing = plan.missing.values().sum::<u32>();
-        prop_assert_eq!(missing, wanted - reference.min(wanted));
+        prop_assert_eq!(missing, desired - reference.min(desired));
         check_invariants(&nodes, &demands, &apply_plan(&[], &plan));
     }
 
@@ -147,10 +147,10 @@
         let demands: Vec<GroupDemand> = sizes
             .iter()
             .enumerate()
-            .map(|(number, (size, wanted, urgency))| {
+            .map(|(number, (size, desired, urgency))| {
                 let urgency = [Urgency::Urgent, Urgency::Normal, Urgency::Batch][*urgency as usize];
                 let spec = spec(&format!("g{number}"), *size, None, urgency);
-                GroupDemand { spec, desired: *wanted }
+                GroupDemand { spec, desired: *desired }
             })
             .collect();
         let planner = GroupPlanner::new(demands.clone()).with_nodes(nodes.clone());
@@ -181,7 +181,8 @@
             .with_nodes(nodes.clone())
             .with_replicas(after)
             .plan();
-        prop_assert!(again.drains.is_empty() && again.forms.is_empty(), "the next plan is not empty");
+        let empty = again.drains.is_empty() && again.forms.is_empty();
+        prop_assert!(empty, "the next plan is not empty");
     }
 }
 
@@ -232,13 +233,13 @@
     let first: Vec<&NodeView> = nodes[0..2].iter().collect();
     let second: Vec<&NodeView> = nodes[2..4].iter().collect();
     let replicas = vec![serving("g", 0, &first), serving("g", 1, &second)];
-    let mut wanted = spec("g", 2, None, Urgency::Normal);
+    let mut changed = spec("g", 2, None, Urgency::Normal);
     match change {
-        "version" => wanted.version = "2".to_owned(),
-        "selector" => wanted.selector = spec("g", 2, Some("slow"), Urgency::Normal).selector,
+        "version" => changed.version = "2".to_owned(),
+        "selector" => changed.selector = spec("g", 2, Some("slow"), Urgency::Normal).selector,
         _ => nodes.iter_mut().for_each(|node| node.unmanaged = Some("taken back".to_owned())),
     }
-    let demand = GroupDemand { spec: wanted, desired: 2 };
+    let demand = GroupDemand { spec: changed, desired: 2 };
     let plan = GroupPlanner::new(vec![demand]).with_nodes(nodes).with_replicas(replicas).plan();
     assert_eq!(plan.drains.len(), 1, "not exactly one replica is drained");
     assert!(!plan.drains[0].reason.is_loss(), "a replica that can still serve was treated as lost");
@@ -263,9 +264,9 @@
     nodes[0].unusable = Some("not seen for 9.0 s".to_owned());
     nodes[2].unmanaged = Some("label given is missing".to_owned());
     nodes.push(node(1, 9, "slow"));
-    let wanted = spec("g", 2, Some("fast"), Urgency::Normal);
+    let group = spec("g", 2, Some("fast"), Urgency::Normal);
     let reasons: Vec<String> =
-        explain_nodes(&wanted, &nodes, &[]).into_iter().map(|verdict| verdict.reason).collect();
+        explain_nodes(&group, &nodes, &[]).into_iter().map(|verdict| verdict.reason).collect();
     assert!(reasons[0].contains("not seen for 9.0 s"));
     assert!(reasons[1].contains("1 free nodes that fit, 2 are needed"));
     assert!(reasons[2].contains("not given to hollowbarrow"));
