--- a/crates/member/src/http.rs
+++ b/crates/member/src/http.rs
@@ -1,7 +1,7 @@
-//! Serves HTTP with limits, and makes single calls.
+//! HTTP server with limits per connection, and single HTTP calls.
 //!
-//! Invariant: once told to stop, no connection takes a further request, and
-//! those under way end by themselves.
+//! Invariant: after the stop signal no connection accepts another request, and
+//! requests in progress run to completion.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -24,33 +24,33 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::watch;
 
-/// Connections that may wait to be accepted.
+/// Length of the listener's accept queue.
 const BACKLOG: u32 = 4096;
-/// Most headers of a request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 100;
-/// Pause after a failed accept, as when descriptors run out.
+/// Pause after a failed accept, for example when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Largest answer that a call takes.
+/// Largest answer body that [`call_once`] accepts.
 const CALL_BYTES: usize = 64 << 10;
 
-/// An answer that ended before it was whole; its connection is cut.
+/// An answer that ended before it was complete; its connection is closed.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer broke off")]
+#[error("the answer was truncated")]
 pub struct TruncatedAnswerError;
 
-/// Pieces of an answer.
+/// Chunks of an answer's body.
 pub type ChunkStream = Pin<Box<dyn Stream<Item = Result<Bytes, TruncatedAnswerError>> + Send>>;
 
 /// Body of an answer.
 pub enum AnswerBody {
-    /// Everything is there.
+    /// The complete body; none once it has been sent.
     Complete(Option<Bytes>),
-    /// Pieces come one after the other; the answer is whole when they end.
+    /// A body sent chunk by chunk; it is complete when the stream ends.
     Chunks(ChunkStream),
 }
 
 impl AnswerBody {
-    /// A body that is there already.
+    /// Creates a body from bytes that are already available.
     pub fn complete(bytes: impl Into<Bytes>) -> Self {
         Self::Complete(Some(bytes.into()))
     }
@@ -66,9 +66,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswerError>>> {
         match &mut *self {
             Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Chunks(pieces) => {
-                let next = pieces.as_mut().poll_next(context);
-                next.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Chunks(chunks) => {
+                let next = chunks.as_mut().poll_next(context);
+                next.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -83,10 +83,10 @@
     }
 }
 
-/// An answer.
+/// Answer to an HTTP request.
 pub type HttpAnswer = Response<AnswerBody>;
 
-/// A plain answer of a status and a text.
+/// Creates an answer with a status and a text body.
 pub fn plain_answer(status: StatusCode, text: impl Into<Bytes>) -> HttpAnswer {
     let mut answer = Response::new(AnswerBody::complete(text));
     *answer.status_mut() = status;
@@ -95,30 +95,30 @@
 
 /// Answers requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Bounds on a connection that is accepted now.
+    /// Returns the limits for a connection that is accepted now.
     fn limits(&self) -> HttpLimits;
 
-    /// Answers one request; the future is dropped where the caller goes away.
+    /// Answers one request; the future is dropped if the caller disconnects.
     fn answer(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = HttpAnswer> + Send;
 }
 
-/// Bounds on connections.
+/// Limits on a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub head_bytes: usize,
-    /// Longest time until the head of the next request has come.
+    /// Maximum time until the head of the next request has been received.
     pub idle: Duration,
 }
 
-/// Binds an address with a queue long enough for a burst of connections.
+/// Listens on an address, with an accept queue long enough for a burst of connections.
 ///
 /// # Errors
 ///
-/// Fails where the address cannot be listened on.
+/// Fails if the address cannot be parsed or listened on.
 pub fn bind_http(address: &str) -> std::io::Result<TcpListener> {
     let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidInput);
     let address: SocketAddr = address.parse().map_err(|_| invalid())?;
@@ -128,7 +128,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves connections until told to stop.
+/// Serves connections until the stop signal.
 pub async fn serve_http<H: HttpHandler>(
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
@@ -137,7 +137,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => return,
+            () = wait_for_stop(&mut stop) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -149,8 +149,8 @@
     }
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is as good as being told.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
+    // An error means that the sender was dropped because the daemon stops.
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
@@ -173,35 +173,35 @@
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = told_to_stop(&mut stop) => {
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
 }
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The address is none.
-    #[error("{0:?} is no address")]
+    /// The address cannot be parsed.
+    #[error("{0:?} is not an IP address and port")]
     Address(String),
-    /// Nobody accepts connections there; the call was not taken.
+    /// The connection was refused; the request was not processed.
     #[error("the connection was refused")]
     Refused,
-    /// No connection came up in time; the call was not taken.
-    #[error("no connection came up")]
+    /// No connection was established; the request was not processed.
+    #[error("no connection could be established")]
     Unreached,
-    /// The call was sent, and no whole answer came.
-    #[error("no answer came")]
+    /// The request was sent, but no complete answer was received.
+    #[error("no complete answer was received")]
     NoAnswer,
 }
 
-/// Makes one call on a connection of its own.
+/// Sends one request on a new connection and returns the answer.
 ///
 /// # Errors
 ///
-/// Says whether the call may have been taken.
+/// The error states whether the request may have been processed.
 pub async fn call_once(
     address: &str,
     request: Request<Full<Bytes>>,
@@ -221,7 +221,7 @@
     let (mut sender, connection) =
         client::handshake(TokioIo::new(stream)).await.map_err(|_| CallError::Unreached)?;
     let driver = tokio::spawn(async move {
-        // The call's own future reports what went wrong.
+        // `send_request` returns the error as well.
         let _ = connection.await;
     });
     let exchange = async {
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,12 +1,12 @@
-//! What gateways and controllers have in common: settings, links to each other
-//! and HTTP.
+//! Code shared by gateways and controllers: settings, links to other daemons,
+//! HTTP, metrics and detection of suspensions.
 //!
-//! Daemons are named by the address under which others reach them, so that a
-//! name heard of is one that can be written to. They learn of each other from a
-//! few seeds and from what they are told afterwards.
+//! The id of a daemon is the address under which other daemons reach it, so
+//! that a message can be sent to any id that was received. Daemons discover
+//! each other from a few seeds and from the ids in later messages.
 //!
-//! Invariant: what is sent to a daemon may be lost; whoever sends says
-//! everything that matters again.
+//! Invariant: a message to another daemon may be lost; the sender repeats all
+//! state that matters.
 
 pub mod http;
 mod links;
--- a/crates/member/src/links.rs
+++ b/crates/member/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to other daemons.
+//! Connections to other daemons and the set of known controllers.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -13,30 +13,30 @@
 
 use crate::settings::{member_id, seed_ids};
 
-/// Longest time for a connection to come up.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// Longest time of one step on a connection that is up.
+/// Maximum time of one handshake step or write on an established connection.
 const STEP_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Silence after which a connection is made anew.
+/// Time without any received frame after which a connection is replaced.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Why a daemon cannot be reached by others.
+/// Why a daemon's links could not be started.
 #[derive(Debug, Error)]
 pub enum StartLinksError {
-    /// The address for other daemons cannot be listened on.
+    /// Listening on the address for other daemons failed.
     #[error("cannot listen on {address}, set as ip and mesh_port")]
     Listen {
         /// The address.
         address: String,
-        /// Why.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// The connections cannot be served.
+    /// The peer mesh could not be started.
     #[error("cannot serve other daemons")]
     Mesh(#[from] StartMeshError),
 }
 
-/// A configuration in the form in which it goes over connections, made once for all gateways.
+/// A configuration in its wire encoding, encoded once for all gateways.
 #[derive(Clone, Debug)]
 pub struct EncodedDeployment {
     version: u64,
@@ -51,18 +51,18 @@
         Self { version, message: EncodedMessage::new(&message) }
     }
 
-    /// Version of the configuration.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Bytes that a copy takes on its way.
+    /// Returns the size of the encoded configuration in bytes.
     pub fn size(&self) -> usize {
         self.message.size()
     }
 }
 
-/// Sends messages to other daemons and knows which controllers there are.
+/// Sends messages to other daemons and keeps the set of known controllers.
 pub struct MemberLinks {
     id: DaemonId,
     mesh: PeerMesh,
@@ -71,11 +71,11 @@
 }
 
 impl MemberLinks {
-    /// Starts listening; each message that comes is given to the handler.
+    /// Starts listening; each received message is passed to the handler.
     ///
     /// # Errors
     ///
-    /// Fails where the address cannot be listened on.
+    /// Fails if the address cannot be listened on.
     pub fn start(
         settings: &MemberSettings,
         handler: impl Fn(&DaemonId, PeerMessage) + Send + Sync + 'static,
@@ -99,55 +99,56 @@
         Ok(Self { id, mesh, seeds, controllers: Mutex::default() })
     }
 
-    /// Name of this daemon.
+    /// Returns the id of this daemon.
     pub fn id(&self) -> &DaemonId {
         &self.id
     }
 
-    /// Daemons that the settings name as seeds.
+    /// Returns the daemons that the settings name as seeds.
     pub fn seeds(&self) -> &[DaemonId] {
         &self.seeds
     }
 
-    /// Controllers to talk to: those heard of, or the seeds before any was; without this daemon.
+    /// Returns the learned controllers followed by the seeds, without duplicates and without this
+    /// daemon.
     pub fn controllers(&self) -> Vec<DaemonId> {
         let known = self.lock();
         let all = known.iter().chain(self.seeds.iter().filter(|seed| !known.contains(*seed)));
         all.filter(|id| **id != self.id).cloned().collect()
     }
 
-    /// Adds controllers that were heard of; returns those that are new.
+    /// Adds controllers to the known set; returns those that are new.
     pub fn learn_controllers<'a>(
         &self,
-        heard: impl IntoIterator<Item = &'a DaemonId>,
+        ids: impl IntoIterator<Item = &'a DaemonId>,
     ) -> Vec<DaemonId> {
         let mut known = self.lock();
-        heard.into_iter().filter(|id| known.insert((*id).clone())).cloned().collect()
+        ids.into_iter().filter(|id| known.insert((*id).clone())).cloned().collect()
     }
 
-    /// Sends a message about the fleet; false where it was dropped at once.
+    /// Queues a fleet message; returns false if it was dropped immediately.
     pub fn send(&self, to: &DaemonId, message: FleetMessage) -> bool {
         self.mesh.send(to, &PeerMessage::Fleet(message))
     }
 
-    /// Sends a message about the fleet to several daemons and encodes it once; returns those to
-    /// whom it was dropped at once.
+    /// Queues a fleet message for several daemons and encodes it once; returns the daemons for
+    /// which it was dropped immediately.
     pub fn send_to_all<'a>(&self, to: &'a [DaemonId], message: FleetMessage) -> Vec<&'a DaemonId> {
         self.mesh.send_to_all(to, &PeerMessage::Fleet(message))
     }
 
-    /// Sends a configuration in place of an older one that still waits; false where it was dropped
-    /// at once.
+    /// Queues a configuration, replacing an older one that is still queued; returns false if it was
+    /// dropped immediately.
     pub fn send_deployment(&self, to: &DaemonId, deployment: &EncodedDeployment) -> bool {
         self.mesh.send_newest(to, &deployment.message)
     }
 
-    /// Sends a message of the configuration's log.
+    /// Queues a message of the configuration log; returns false if it was dropped immediately.
     pub fn send_log(&self, to: &DaemonId, message: LogMessage) -> bool {
         self.mesh.send(to, &PeerMessage::Log { name: LogName::Config, message })
     }
 
-    /// What went to and came from other daemons so far.
+    /// Returns the traffic counters of the connections to other daemons.
     pub fn traffic(&self) -> &MeshTraffic {
         self.mesh.traffic()
     }
--- a/crates/member/src/metrics.rs
+++ b/crates/member/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Shows a process's metrics under its metrics address.
+//! Serves the metrics of a process over HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 
 use crate::http::{HttpAnswer, HttpHandler, HttpLimits, bind_http, plain_answer, serve_http};
 
-/// Path of the page.
+/// Path under which the metrics are served.
 const METRICS_PATH: &str = "/metrics";
 const LIMITS: HttpLimits = HttpLimits { head_bytes: 8 << 10, idle: Duration::from_secs(15) };
 
-/// Answers with the page that a function writes.
+/// Answers metrics requests with the text that a function returns.
 struct MetricsHandler<F>(F);
 
 impl<F: Fn() -> String + Send + Sync + 'static> HttpHandler for MetricsHandler<F> {
@@ -30,17 +30,18 @@
     }
 }
 
-/// Shows the page on an address until the process ends.
+/// Serves the metrics page on an address, if one is given, until the process exits.
 ///
-/// An address that cannot be listened on is logged and does not keep the process from its work.
+/// If the address cannot be listened on, a warning is logged and the process runs without metrics.
 pub fn serve_metrics(address: Option<&str>, page: impl Fn() -> String + Send + Sync + 'static) {
     let Some(address) = address else { return };
     match bind_http(address) {
         Ok(listener) => {
             tokio::spawn(async move {
-                // Metrics are shown until the process ends: nobody sends on this channel.
-                let (_open, never) = watch::channel(false);
-                serve_http(listener, never, Arc::new(MetricsHandler(page))).await;
+                // Metrics are served until the process exits. The sender is kept alive, because
+                // dropping it would stop the server.
+                let (_stop_sender, stop) = watch::channel(false);
+                serve_http(listener, stop, Arc::new(MetricsHandler(page))).await;
             });
         }
         Err(error) => {
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -1,15 +1,15 @@
-//! Settings of a gateway or a controller.
+//! Reads and checks the settings of a gateway or a controller.
 
 use std::net::{IpAddr, SocketAddr};
 
 use hollowbarrow_schema::settings::{ReadSettingsError, read_document};
 use hollowbarrow_schema::{DaemonId, FieldFault, MemberSettings};
 
-/// Reads settings, which are JSON with comments.
+/// Reads settings from JSON with comments.
 ///
 /// # Errors
 ///
-/// All faults of syntax and schema, or, where there are none, all values that cannot be used.
+/// Returns all faults of syntax and schema or, if there are none, all invalid values.
 pub fn read_member_settings(origin: &str, text: &str) -> Result<MemberSettings, ReadSettingsError> {
     let settings: MemberSettings = read_document(origin, text, "MemberSettings")?;
     let faults = check_settings(&settings);
@@ -20,12 +20,12 @@
     }
 }
 
-/// Name of the daemon that others reach under an IP number and the common port.
+/// Returns the id of the daemon at an IP address and the mesh port.
 pub fn member_id(ip: &str, mesh_port: u16) -> DaemonId {
     DaemonId(format!("{ip}:{mesh_port}"))
 }
 
-/// Names of the daemons that the seeds stand for.
+/// Returns the ids of the daemons that the seeds name; a port in a seed is ignored.
 pub fn seed_ids(settings: &MemberSettings) -> Vec<DaemonId> {
     let ip = |seed: &String| seed.split(':').next().unwrap_or_default().to_owned();
     settings.seeds.iter().map(|seed| member_id(&ip(seed), settings.mesh_port)).collect()
--- a/crates/member/tests/suspension.rs
+++ b/crates/member/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! Suspensions of a machine, with stand-in clocks.
+//! Detection of suspensions, with a clock that the test controls.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,11 +8,11 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// A clock that the test moves, in milliseconds of suspension.
+/// Suspension clock set by the test, in milliseconds.
 #[derive(Clone, Default)]
-struct StandinClock(Arc<AtomicU64>);
+struct FakeClock(Arc<AtomicU64>);
 
-impl SuspensionClock for StandinClock {
+impl SuspensionClock for FakeClock {
     fn suspended(&self) -> Duration {
         Duration::from_millis(self.0.load(Ordering::SeqCst))
     }
@@ -27,36 +27,48 @@
 #[case::too_short(49, false)]
 #[case::short(50, true)]
 #[case::seconds(5000, true)]
-fn woke_after_suspension(#[case] length_ms: u64, #[case] noticed: bool) {
-    let clock = StandinClock::default();
+fn last_resumed_after_suspension(#[case] length_ms: u64, #[case] noticed: bool) {
+    let clock = FakeClock::default();
     clock.0.store(70_000, Ordering::SeqCst);
-    let watch = SuspensionDetector::with_clock(clock.clone());
+    let detector = SuspensionDetector::with_clock(clock.clone());
     let start = Instant::now();
-    assert_eq!(watch.last_resumed(start), None, "what was before it does not count");
+    assert_eq!(
+        detector.last_resumed(start),
+        None,
+        "suspensions before the detector was created are not reported"
+    );
     clock.0.fetch_add(length_ms, Ordering::SeqCst);
     let now = start + ms(10);
-    assert_eq!(watch.last_resumed(now), noticed.then_some(now));
-    assert_eq!(watch.last_resumed(now + ms(500)), noticed.then_some(now), "it is noticed once");
+    assert_eq!(detector.last_resumed(now), noticed.then_some(now));
+    assert_eq!(
+        detector.last_resumed(now + ms(500)),
+        noticed.then_some(now),
+        "a suspension is reported once"
+    );
 }
 
-/// A confirmation was heard 10 ms before by the clock of the runtime, and the machine slept since.
+/// A confirmation that is 10 ms old by the clock of the runtime was received before a suspension of
+/// 4 s.
 #[rstest]
-fn has_slept_since_confirmation() {
-    let clock = StandinClock::default();
-    let watch = SuspensionDetector::with_clock(clock.clone());
-    let heard = Instant::now();
-    assert!(!watch.was_suspended_since(heard, heard + ms(5)));
+fn was_suspended_since_confirmation() {
+    let clock = FakeClock::default();
+    let detector = SuspensionDetector::with_clock(clock.clone());
+    let received = Instant::now();
+    assert!(!detector.was_suspended_since(received, received + ms(5)));
     clock.0.store(4000, Ordering::SeqCst);
-    let woke = heard + ms(10);
-    assert!(watch.was_suspended_since(heard, woke));
-    assert!(!watch.was_suspended_since(woke + ms(1), woke + ms(2)), "heard after it woke");
+    let resumed = received + ms(10);
+    assert!(detector.was_suspended_since(received, resumed));
+    assert!(
+        !detector.was_suspended_since(resumed + ms(1), resumed + ms(2)),
+        "received after the resume"
+    );
 }
 
-/// The machine of the tests is not suspended while they run.
+/// The system's clocks report no suspension while the test runs.
 #[rstest]
-fn suspended_goes_not_back() {
+fn suspended_without_suspension() {
     let first = BootClock.suspended();
-    let watch = SuspensionDetector::new();
-    assert_eq!(watch.last_resumed(Instant::now()), None);
+    let detector = SuspensionDetector::new();
+    assert_eq!(detector.last_resumed(Instant::now()), None);
     assert!(BootClock.suspended() < first + ms(50));
 }
