--- a/crates/upstream/src/client.rs
+++ b/crates/upstream/src/client.rs
@@ -1,8 +1,9 @@
-//! Sends one request to one upstream.
+//! HTTP/1.1 client that sends single requests to upstreams and pools idle connections.
 //!
-//! Idle connections are kept for repeatable requests. A request that may run
-//! only once always gets a fresh connection: on a reused one, a close by the
-//! other end can cross with the request, and nobody could tell if it ran.
+//! Repeatable requests may reuse pooled connections. A request that may run
+//! only once always gets a new connection: on a reused one, the upstream may
+//! close the connection while the request is being sent, and then it is unknown
+//! whether the request ran.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -20,20 +21,20 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most idle connections kept for one upstream.
+/// Maximum number of idle connections kept for one upstream.
 const IDLE_PER_UPSTREAM: usize = 32;
-/// How long a connection may stay idle.
+/// Maximum idle time of a connection if the upstream does not state one.
 const IDLE_LIFETIME: Duration = Duration::from_secs(15);
-/// Part of the time for which an upstream keeps idle connections that is used, so that its close
-/// does not cross with a request.
-const USED_IDLE: f64 = 0.7;
-/// Longest time to make a connection.
+/// Fraction of the upstream's keep-alive timeout during which an idle connection is reused, so that
+/// the upstream does not close the connection while a request is being sent.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest answer that is read only to keep its connection.
+/// Largest answer body that is read to its end only to keep the connection.
 const SHORT_ANSWER_BYTES: usize = 4 << 10;
-/// Header by which an upstream repeats the identity of the request that it answers.
+/// Header that carries the request id in the request and, if the upstream returns it, in the answer.
 pub(crate) const REQUEST_HEADER: &str = "x-request-id";
-/// Headers that are about one connection only.
+/// Hop-by-hop headers.
 const HOP_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -46,7 +47,7 @@
     "upgrade",
 ];
 
-/// Whether a header is about one connection and must not be passed on.
+/// Returns whether a header is hop-by-hop and must not be forwarded.
 pub fn is_hop_header(name: &HeaderName) -> bool {
     HOP_HEADERS.contains(&name.as_str())
 }
@@ -54,28 +55,28 @@
 /// How far a request got before it failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SendRequestError {
-    /// No connection was made; no byte left.
+    /// No connection was established; no byte was sent.
     #[error("cannot connect to {0}")]
     Connect(SocketAddr),
     /// A connection was made but no byte of the request was written to it.
     #[error("the connection was closed before the request was written")]
     NotWritten,
-    /// Some of the request may have been written, and no whole answer head came.
+    /// Part of the request may have been written, and no complete answer head was received.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// The answer names another request.
+    /// The answer carries the id of another request, or lacks a required one.
     #[error("the answer is for request {0:?}")]
     OtherRequest(String),
     /// The request cannot be written as HTTP.
     #[error("the request cannot be written: {0}")]
     Unwritable(String),
-    /// The time limit passed.
+    /// The deadline passed.
     #[error("no answer in time")]
     Timeout,
 }
 
 impl SendRequestError {
-    /// Whether it is certain that no byte of the request left.
+    /// Returns whether it is certain that no byte of the request was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_) | Self::NotWritten | Self::Unwritable(_))
     }
@@ -84,53 +85,53 @@
 /// A request to an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequest {
-    /// Identity that the upstream repeats in its answer, if it can.
+    /// Id that the upstream may return in its answer.
     pub request_id: String,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub target: String,
-    /// Headers, without those about one connection.
+    /// Headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
-    /// Whether a kept connection may be used.
+    /// Whether a pooled connection may be used.
     pub reuse: bool,
 }
 
-/// An answer whose head has come.
+/// An answer whose head has been received.
 #[derive(Debug)]
 pub struct SentAnswer {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Answer headers.
     pub headers: HeaderMap,
-    /// Body, still to be read.
+    /// Body that has not been read yet.
     pub body: Incoming,
-    /// Gives the connection back once the body has been read whole.
+    /// Returns the connection to the pool after the body has been read to its end.
     pub lease: ConnectionLease,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A connection that waits for its next request.
+/// Pooled connection without a request in progress.
 #[derive(Debug)]
 struct IdleConnection {
     sender: Sender,
     since: Instant,
-    /// How long the upstream said that it keeps idle connections, if it did.
-    kept_for: Option<Duration>,
+    /// Keep-alive timeout that the upstream stated, if any.
+    keep_alive: Option<Duration>,
 }
 
 impl IdleConnection {
-    /// Whether it is young enough for the upstream not to close it at any moment.
-    fn is_young(&self) -> bool {
-        let limit = self.kept_for.map_or(IDLE_LIFETIME, |kept| kept.mul_f64(USED_IDLE));
+    /// Returns whether the upstream is not yet expected to close the connection.
+    fn is_fresh(&self) -> bool {
+        let limit = self.keep_alive.map_or(IDLE_LIFETIME, |kept| kept.mul_f64(KEEP_ALIVE_FRACTION));
         self.since.elapsed() < limit
     }
 
     fn is_usable(&self) -> bool {
-        self.is_young() && self.sender.is_ready()
+        self.is_fresh() && self.sender.is_ready()
     }
 }
 
@@ -139,20 +140,20 @@
     by_address: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
-/// How requests name themselves to upstreams.
+/// Header that identifies requests to upstreams.
 #[derive(Clone, Debug)]
 struct RequestIdentity {
     header: HeaderName,
-    /// Whether every answer must repeat the name.
+    /// Whether every answer must return the request id.
     required: bool,
 }
 
-/// Sends requests and keeps idle connections.
+/// Sends requests and pools idle connections.
 #[derive(Clone, Debug)]
 pub struct UpstreamClient {
     idle: Arc<Mutex<IdleConnections>>,
     identity: RequestIdentity,
-    first_connect: Duration,
+    first_connect_timeout: Duration,
 }
 
 impl Default for UpstreamClient {
@@ -161,35 +162,37 @@
         Self {
             idle: Arc::default(),
             identity: RequestIdentity { header, required: false },
-            first_connect: CONNECT_TIMEOUT,
+            first_connect_timeout: CONNECT_TIMEOUT,
         }
     }
 }
 
-/// A connection in use.
+/// A connection in use by one request.
 #[derive(Debug)]
 pub struct ConnectionLease {
     client: UpstreamClient,
     address: SocketAddr,
     sender: Sender,
     reused: bool,
-    kept_for: Option<Duration>,
-    most_idle: usize,
+    keep_alive: Option<Duration>,
+    max_idle: usize,
 }
 
 impl ConnectionLease {
-    /// Sets how many idle connections to the upstream there may be once this one is given back.
-    pub fn with_max_idle(mut self, most_idle: usize) -> Self {
-        self.most_idle = most_idle.min(IDLE_PER_UPSTREAM);
+    /// Sets the maximum number of idle connections to the upstream, including this one, that the
+    /// pool keeps when this one is returned.
+    pub fn with_max_idle(mut self, max_idle: usize) -> Self {
+        self.max_idle = max_idle.min(IDLE_PER_UPSTREAM);
         self
     }
 
-    /// Whether the connection has carried a request before.
+    /// Returns whether the connection has carried a request before.
     pub fn is_reused(&self) -> bool {
         self.reused
     }
 
-    /// Keeps the connection once a short answer that nobody needs has been read to its end.
+    /// Reads a short, unneeded answer body to its end in the background, then returns the connection
+    /// to the pool. A body that is too long or too slow closes the connection.
     pub fn give_back_after(self, body: Incoming) {
         tokio::spawn(async move {
             let reading = Limited::new(body, SHORT_ANSWER_BYTES).collect();
@@ -199,16 +202,16 @@
         });
     }
 
-    /// Keeps the connection for another request; the answer's body was read whole.
+    /// Returns the connection to the pool; the answer's body must have been read to its end.
     pub fn give_back(self) {
         if self.sender.is_closed() {
             return;
         }
         let mut idle = self.client.idle.lock().expect("no holder of the lock panics");
         let kept = idle.by_address.entry(self.address).or_default();
-        if kept.len() < self.most_idle {
+        if kept.len() < self.max_idle {
             let since = Instant::now();
-            kept.push(IdleConnection { sender: self.sender, since, kept_for: self.kept_for });
+            kept.push(IdleConnection { sender: self.sender, since, keep_alive: self.keep_alive });
         }
     }
 }
@@ -219,13 +222,13 @@
         Self::default()
     }
 
-    /// Sets after what time a connection that does not come up is tried a second time.
-    pub fn with_first_connect_timeout(mut self, limit: Duration) -> Self {
-        self.first_connect = limit;
+    /// Sets the time after which a first attempt to connect is abandoned and tried once more.
+    pub fn with_first_connect_timeout(mut self, timeout: Duration) -> Self {
+        self.first_connect_timeout = timeout;
         self
     }
 
-    /// Names requests by another header, which every answer must repeat.
+    /// Identifies requests by the given header, which every answer must return.
     pub fn with_identity(mut self, header: HeaderName) -> Self {
         self.identity = RequestIdentity { header, required: true };
         self
@@ -242,7 +245,7 @@
         None
     }
 
-    /// Addresses to which a request can go now without a new connection.
+    /// Returns the addresses that have a usable idle connection.
     pub fn idle_addresses(&self) -> HashSet<SocketAddr> {
         let idle = self.idle.lock().expect("no holder of the lock panics");
         let usable =
@@ -250,19 +253,20 @@
         usable.map(|(address, _)| *address).collect()
     }
 
-    /// Drops the idle connections that are too old to be used, and closes them.
+    /// Closes idle connections that are too old to be reused or already closed by the upstream.
     pub fn drop_expired(&self) {
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         for kept in idle.by_address.values_mut() {
-            kept.retain(|connection| connection.is_young() && !connection.sender.is_closed());
+            kept.retain(|connection| connection.is_fresh() && !connection.sender.is_closed());
         }
         idle.by_address.retain(|_, kept| !kept.is_empty());
     }
 
-    /// Opens a connection; one whose opening packet may have been lost is tried once more, since
-    /// the kernel would send that packet again only after a second.
+    /// Opens a TCP connection. An attempt that times out is repeated once, because the kernel
+    /// retransmits a lost SYN packet only after a second.
     async fn open_stream(&self, address: SocketAddr) -> Option<TcpStream> {
-        let first = tokio::time::timeout(self.first_connect, TcpStream::connect(address)).await;
+        let first =
+            tokio::time::timeout(self.first_connect_timeout, TcpStream::connect(address)).await;
         match first {
             Ok(connected) => connected.ok(),
             Err(_) => {
@@ -279,17 +283,18 @@
         let (sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| fail())?;
         tokio::spawn(async move {
-            // The request's own future reports what went wrong.
+            // The future of the request returns the error as well.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// Makes sure of a connection, so that what follows can be decided just before sending.
+    /// Takes a pooled connection or opens one, so that the caller can make its last decisions
+    /// directly before the request is sent.
     ///
     /// # Errors
     ///
-    /// Fails where no connection can be made; no byte has left then.
+    /// Fails if no connection can be established; no byte has been sent then.
     pub async fn prepare(
         &self,
         address: SocketAddr,
@@ -306,8 +311,8 @@
             address,
             sender,
             reused,
-            kept_for: None,
-            most_idle: IDLE_PER_UPSTREAM,
+            keep_alive: None,
+            max_idle: IDLE_PER_UPSTREAM,
         })
     }
 
@@ -315,7 +320,7 @@
     ///
     /// # Errors
     ///
-    /// Says how far the request got.
+    /// The error states whether the request may have been sent.
     pub async fn send(
         &self,
         mut lease: ConnectionLease,
@@ -328,7 +333,7 @@
             Err(_) => Err(SendRequestError::Timeout),
             Ok(Ok(response)) => check_identity(response, request, lease, &self.identity),
             Ok(Err(mut error)) => {
-                // The message comes back only where none of it was written.
+                // hyper returns the message only if no part of it was written.
                 if error.take_message().is_some() {
                     return Err(SendRequestError::NotWritten);
                 }
@@ -375,11 +380,11 @@
         let named = named.map(|named| String::from_utf8_lossy(named.as_bytes()).into_owned());
         return Err(SendRequestError::OtherRequest(named.unwrap_or_default()));
     }
-    lease.kept_for = read_keep_alive(&parts.headers);
+    lease.keep_alive = read_keep_alive(&parts.headers);
     Ok(SentAnswer { status: parts.status, headers: parts.headers, body, lease })
 }
 
-/// How long an upstream says that it keeps idle connections.
+/// Reads the timeout of the `Keep-Alive` header.
 fn read_keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get("keep-alive")?.to_str().ok()?;
     let parameters = text.split(',').map(str::trim);
--- a/crates/upstream/src/engine.rs
+++ b/crates/upstream/src/engine.rs
@@ -1,4 +1,4 @@
-//! Health and orders of engines.
+//! Health probes of engines and orders to them.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,32 +16,32 @@
 
 /// Path of the health probe.
 const REPORT_TARGET: &str = "/hollowbarrow/v1/report";
-/// Path of orders.
+/// Path that orders are posted to.
 const ORDER_TARGET: &str = "/hollowbarrow/v1/order";
-/// Largest report or refusal taken.
+/// Maximum size of a report or refusal.
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// Why a probe told nothing.
+/// Why a probe returned no report.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProbeNodeError {
     /// The node did not answer.
     #[error("the node did not answer: {0}")]
     NoAnswer(#[from] SendRequestError),
-    /// The answer is no report.
-    #[error("the node's answer is no report")]
+    /// The answer has another status than 200 or cannot be parsed as a report.
+    #[error("the node's answer is not a valid report")]
     NotReport,
 }
 
-/// Why an order was not carried out, as far as is known.
+/// Why an order was not accepted, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SendOrderError {
-    /// The node refused the order, because another one came first.
+    /// The node refused the order because it holds a conflicting epoch or owner.
     #[error("the node holds epoch {} of owner {}", *.0.epoch, .0.owner)]
     Fenced(OrderRefusal),
     /// The node refused the order for another reason.
     #[error("the node refused the order with status {0}")]
     Refused(u16),
-    /// The node did not answer; the order may have been taken.
+    /// The node did not answer; the order may have been accepted.
     #[error("the node did not answer: {0}")]
     NoAnswer(#[from] SendRequestError),
 }
@@ -49,16 +49,16 @@
 /// A future that an engine client returns.
 pub type EngineFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// What hollowbarrow needs of an engine besides its requests.
+/// Control interface of an engine: health and orders.
 pub trait EngineClient: Send + Sync {
-    /// Asks a node how it is.
+    /// Requests a node's report.
     fn probe(
         &self,
         address: SocketAddr,
         timeout: Duration,
     ) -> EngineFuture<'_, Result<NodeReport, ProbeNodeError>>;
 
-    /// Gives a node an order.
+    /// Sends an order to a node.
     fn order<'a>(
         &'a self,
         address: SocketAddr,
@@ -67,7 +67,7 @@
     ) -> EngineFuture<'a, Result<(), SendOrderError>>;
 }
 
-/// Engines that speak the protocol of `docs/upstream-protocol.md`.
+/// Client for engines that implement the protocol of `docs/upstream-protocol.md`.
 #[derive(Clone, Debug, Default)]
 pub struct HttpEngine {
     client: UpstreamClient,
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/events.rs
@@ -1,4 +1,4 @@
-//! Reads server-sent events of engines.
+//! Parser for the server-sent events of engines.
 
 use std::borrow::Cow;
 
@@ -6,15 +6,15 @@
 use serde::de::IgnoredAny;
 use thiserror::Error;
 
-/// Largest event taken; an engine's chunk is a few hundred bytes.
+/// Maximum size of an event; an engine's chunk has a few hundred bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 /// Data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// A stream that is not one of an engine.
+/// Why a stream of events cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ParseEventError {
-    /// An event does not end.
+    /// An event exceeds the maximum size.
     #[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
     /// The data is not text.
@@ -25,7 +25,7 @@
     NotChunk,
 }
 
-/// Splits bytes into the data of events, however the bytes are cut up.
+/// Incremental parser that returns the data of events from bytes in chunks of any size.
 #[derive(Debug, Default)]
 pub struct EventParser {
     buffer: Vec<u8>,
@@ -38,16 +38,16 @@
         Self::default()
     }
 
-    /// Whether bytes of an unfinished event are left.
+    /// Returns whether the buffer holds part of an unfinished event.
     pub fn has_rest(&self) -> bool {
         self.buffer.iter().any(|byte| !byte.is_ascii_whitespace())
     }
 
-    /// Takes bytes and returns the data of the events that they finish.
+    /// Appends bytes and returns the data of the events that they complete.
     ///
     /// # Errors
     ///
-    /// Fails where an event is too long or no text.
+    /// Fails if an event is too long or not UTF-8.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<String>, ParseEventError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -63,7 +63,7 @@
         Ok(events)
     }
 
-    /// Length of the first event and of the blank line behind it.
+    /// Returns the length of the first event and of the blank line after it.
     fn find_end(&mut self) -> Option<(usize, usize)> {
         let start = self.scanned.saturating_sub(3);
         let found = (start..self.buffer.len()).find_map(|position| {
@@ -78,7 +78,7 @@
     }
 }
 
-/// Joins an event's data lines; comments and other fields are passed over.
+/// Joins an event's `data` lines; comments and other fields are ignored.
 fn event_data(event: &str) -> Option<String> {
     let mut data: Option<String> = None;
     for line in event.split(['\n', '\r']) {
@@ -105,17 +105,17 @@
         /// The text.
         text: String,
     },
-    /// The engine says why the answer ends.
+    /// The engine stated a finish reason.
     Finish,
-    /// Something without text, such as the role.
+    /// A chunk without text, for example one with the role only.
     Other,
-    /// The engine reports an error within the stream.
+    /// The engine reported an error within the stream.
     Error,
     /// The stream is complete.
     Done,
 }
 
-/// The fields of a chunk that matter here; engines send many more.
+/// Fields of a chunk that are used; all others are ignored.
 #[derive(Deserialize)]
 struct ChunkFields<'a> {
     #[serde(default, borrow)]
@@ -142,11 +142,11 @@
     content: Option<Cow<'a, str>>,
 }
 
-/// Reads an event's data as a chunk of a chat or text completion.
+/// Parses an event's data as a chunk of a chat or text completion.
 ///
 /// # Errors
 ///
-/// Fails where the data is neither a chunk nor the end mark.
+/// Fails if the data is neither a chunk nor `[DONE]`.
 pub fn parse_chunk(data: &str) -> Result<StreamChunk, ParseEventError> {
     if data.trim() == DONE {
         return Ok(StreamChunk::Done);
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,11 +1,13 @@
-//! How hollowbarrow speaks to upstreams and to the platform.
+//! Clients for upstreams and for the platform.
 //!
-//! [`UpstreamClient`] carries requests and says exactly how far one got, which
-//! is what retries and "not run" rest on. [`EngineClient`] is the one trait
-//! behind which an engine's health and orders stand; [`HttpEngine`] speaks the
-//! protocol of `docs/upstream-protocol.md`. [`EventParser`] reads streams.
+//! [`UpstreamClient`] sends requests and reports exactly how far a failed one
+//! got; retries and the "not run" status of answers depend on it.
+//! [`EngineClient`] is the trait for health probes of engines and orders to
+//! them; [`HttpEngine`] implements it with the protocol of
+//! `docs/upstream-protocol.md`. [`EventParser`] parses streams of events.
 //!
-//! Invariant: an answer is handed on as whole only if its framing says so.
+//! Invariant: an answer is passed on as complete only if its HTTP framing marks
+//! it as complete.
 
 mod client;
 mod engine;
--- a/crates/upstream/src/notice.rs
+++ b/crates/upstream/src/notice.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself in the head of an answer.
+//! Notices about later requests that an upstream states in the headers of an answer.
 
 use std::time::Duration;
 
@@ -9,42 +9,42 @@
 /// Thousandths of a request in one request.
 const MILLI: f64 = 1000.0;
 
-/// Why a wish for no requests cannot be read.
+/// Why a backoff cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadBackoffError {
-    /// The header `Retry-After` is no text.
-    #[error("the header retry-after is no text")]
+    /// The value of the header `Retry-After` is not visible ASCII text.
+    #[error("the value of the header Retry-After is not text")]
     NotText,
-    /// The header `Retry-After` is no number of seconds. Dates are not taken: clocks of machines
-    /// differ by seconds, as much as the times that are asked for.
-    #[error("the header retry-after is no number of seconds")]
+    /// The value of the header `Retry-After` is not a number of seconds. Dates are not supported:
+    /// the clocks of machines differ by seconds, as much as the backoffs that are requested.
+    #[error("the value of the header Retry-After is not a number of seconds")]
     NotSeconds,
 }
 
 /// Why a limit cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadLimitError {
-    /// The header stands several times.
-    #[error("the limit is named several times")]
+    /// The answer has the header more than once.
+    #[error("the limit is stated more than once")]
     Several,
-    /// The value is no decimal number, such as `2` or `0.05`.
-    #[error("the limit is no decimal number")]
+    /// The value is not a decimal number like `2` or `0.05`.
+    #[error("the limit is not a decimal number")]
     NotDecimal,
 }
 
-/// What the head of an answer says of requests to come.
+/// What the headers of an answer state about later requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamNotice {
-    /// For how long the upstream wants no requests from this daemon; none where it does not say.
+    /// Time for which the upstream requests no further requests from this daemon, if stated.
     pub backoff: Result<Option<Duration>, ReadBackoffError>,
-    /// Whether the upstream says that it is about to end.
+    /// Whether the upstream announces that it is about to stop.
     pub leaving: bool,
-    /// Requests that the upstream takes from all daemons together; none where it names no limit.
+    /// Limit on the request rate of all daemons together, if stated.
     pub limit: Result<Option<RequestRate>, ReadLimitError>,
 }
 
 impl UpstreamNotice {
-    /// Creates the word of an upstream that asks for nothing.
+    /// Creates a notice that states nothing.
     pub fn new() -> Self {
         Self { backoff: Ok(None), leaving: false, limit: Ok(None) }
     }
@@ -56,12 +56,12 @@
     }
 }
 
-/// The time that the header `Retry-After` names, in seconds with or without a fraction; none where
-/// it is not there.
+/// Reads the header `Retry-After`, in seconds with or without a fraction; returns none if the header
+/// is missing.
 ///
 /// # Errors
 ///
-/// Says why it cannot be read.
+/// Returns why the value cannot be read.
 pub fn read_backoff(headers: &HeaderMap) -> Result<Option<Duration>, ReadBackoffError> {
     let Some(value) = headers.get(RETRY_AFTER) else { return Ok(None) };
     let text = value.to_str().map_err(|_| ReadBackoffError::NotText)?;
@@ -70,12 +70,12 @@
     backoff.map(Some).map_err(|_| ReadBackoffError::NotSeconds)
 }
 
-/// The limit that a header names, in requests a second with or without a fraction; none where it is
-/// not there. A limit beyond what a rate can hold is read as the highest rate.
+/// Reads a limit from a header, in requests per second with or without a fraction; returns none if
+/// the header is missing. A limit above the largest rate is read as the largest rate.
 ///
 /// # Errors
 ///
-/// Says why it cannot be read.
+/// Returns why the value cannot be read.
 pub fn read_limit(
     headers: &HeaderMap,
     name: &HeaderName,
@@ -91,6 +91,6 @@
         return Err(ReadLimitError::NotDecimal);
     }
     let per_s: f64 = text.parse().map_err(|_| ReadLimitError::NotDecimal)?;
-    // A limit is never raised by rounding.
+    // Rounds down, so that rounding never raises a limit.
     Ok(Some(RequestRate((per_s * MILLI + f64::EPSILON * MILLI).floor() as u64)))
 }
--- a/crates/upstream/tests/connections.rs
+++ b/crates/upstream/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Which connections are kept, against a server that counts them.
+//! Reuse of pooled connections, against a server that counts connections.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -32,7 +32,7 @@
 async fn answer_all(mut stream: TcpStream) {
     let mut buffer = [0; 4096];
     while let Ok(read) = stream.read(&mut buffer).await {
-        // Requests are short, so that each comes in one piece.
+        // Requests are short, so each one arrives in a single read.
         if read == 0
             || stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.is_err()
         {
@@ -56,19 +56,19 @@
     answer.lease
 }
 
-/// Three requests at once, twice; their connections are kept up to a limit.
+/// Three requests at once, twice; their connections are pooled up to a limit.
 #[rstest]
 #[case::all_kept(8, 3)]
 #[case::one_kept(1, 5)]
 #[tokio::test]
-async fn give_back_up_to_limit(#[case] most_idle: usize, #[case] expected: usize) {
+async fn give_back_up_to_limit(#[case] max_idle: usize, #[case] expected: usize) {
     let (address, count) = start_server().await;
     let client = UpstreamClient::new();
     for _ in 0..2 {
         let mut leases = Vec::new();
         for _ in 0..3 {
             let lease = client.prepare(address, true).await.expect("the server listens");
-            leases.push(use_lease(&client, lease.with_max_idle(most_idle)).await);
+            leases.push(use_lease(&client, lease.with_max_idle(max_idle)).await);
         }
         leases.into_iter().for_each(ConnectionLease::give_back);
         assert!(client.idle_addresses().contains(&address));
