--- a/crates/log/src/driver.rs
+++ b/crates/log/src/driver.rs
@@ -1,12 +1,12 @@
-//! Runs a replica and the state machine behind it on one thread.
+//! Runs a replica and its state machine on one thread.
 //!
-//! The thread takes all inputs that wait, steps the replica through them, lets
-//! the messages go that need not wait for the disk, syncs once, and lets the
-//! rest go. One sync thus serves every proposal that came in meanwhile.
+//! The thread takes all queued inputs, steps the replica through them, sends
+//! the messages that need not wait for the disk, syncs the storage once, and
+//! sends the other messages. One sync thus covers all proposals of a batch.
 //!
 //! Invariant: a proposal is answered with its outcome only after its entry was
-//! applied from the committed log; where the entry was replaced the answer says
-//! so, and where that cannot be known the answer's channel is dropped.
+//! applied from the committed log. If the entry was replaced, the answer is
+//! `Lost`; if the outcome cannot be known, the answer's channel is dropped.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, RwLock};
@@ -23,36 +23,36 @@
 use crate::replica::{LogReplica, ReplicaConfig};
 use crate::storage::{LogStorage, MemoryStorage, StoreLogError};
 
-/// Most inputs taken before the storage is synced.
+/// Maximum number of inputs processed before the storage is synced.
 const BATCH_INPUTS: usize = 1024;
-/// Pause before a failed storage is opened again.
+/// Delay before a failed storage is opened again.
 const REOPEN_PAUSE: Duration = Duration::from_secs(2);
 
-/// Something that entries are applied to, the same on every replica.
+/// Deterministic state machine to which every replica applies the same entries.
 pub trait StateMachine: Send + Sync + 'static {
-    /// Applies one committed entry and says what came of it.
+    /// Applies one committed entry and returns its outcome.
     fn apply(&mut self, entry: &LogEntry) -> ProposalOutcome;
 
-    /// The whole state, for a snapshot.
+    /// Encodes the complete state for a snapshot.
     fn to_snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state by a snapshot's; false where it cannot be read.
+    /// Replaces the complete state by that of a snapshot; returns false if it cannot be decoded.
     fn restore(&mut self, snapshot: &[u8]) -> bool;
 }
 
-/// What has changed the state machine.
+/// A change of the state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum AppliedChange<'a> {
-    /// A committed entry.
+    /// A committed entry was applied.
     Entry(&'a LogEntry),
-    /// A snapshot that replaced the whole state; entries up to its index are not told of.
+    /// A snapshot replaced the complete state; entries up to its index are not reported.
     Snapshot(LogIndex),
 }
 
-/// Who is told of what was applied.
+/// Callback for changes of the state machine.
 pub type AppliedCallback = Box<dyn Fn(AppliedChange<'_>) + Send>;
 
-/// Where outgoing messages go.
+/// Function that sends outgoing messages.
 type SendMessage = Box<dyn Fn(&DaemonId, LogMessage) + Send>;
 
 /// Settings of a driver.
@@ -64,18 +64,18 @@
 }
 
 impl DriverConfig {
-    /// Creates settings; without a folder the replica follows but cannot vote.
+    /// Creates settings; without a folder the replica follows the log but cannot vote.
     pub fn new(replica: ReplicaConfig, folder: Option<std::path::PathBuf>) -> Self {
         Self { replica, folder, snapshot_entries: 4096, applied: None }
     }
 
-    /// Sets after how many entries a snapshot replaces them.
+    /// Sets the number of applied entries after which they are replaced by a snapshot.
     pub fn with_snapshot_entries(mut self, entries: usize) -> Self {
         self.snapshot_entries = entries;
         self
     }
 
-    /// Sets who is told of each applied entry and each installed snapshot.
+    /// Sets the callback for each applied entry and each installed snapshot.
     pub fn with_applied_callback(mut self, applied: AppliedCallback) -> Self {
         self.applied = Some(applied);
         self
@@ -86,43 +86,43 @@
 pub enum DriverInput {
     /// A message from another replica.
     Message(DaemonId, LogMessage),
-    /// A proposal and where its outcome goes.
+    /// A proposal and the channel for its outcome.
     Propose(EntryPayload, Sender<ProposalOutcome>),
-    /// A peer that was learned of after the start.
+    /// A peer that was discovered after the start.
     AddPeer(DaemonId),
-    /// Give up leadership, because this daemon is about to stop.
+    /// Step down as leader, because this daemon is about to stop.
     HandOver,
-    /// End the thread.
+    /// Stop the thread.
     Stop,
 }
 
-/// What others may know of a replica.
+/// Published state of a replica.
 #[derive(Clone, Debug, Default)]
 pub struct LogView {
-    /// Leader of the current term, as far as known.
+    /// Leader of the current term, if known.
     pub leader: Option<DaemonId>,
-    /// Whether this daemon leads.
+    /// Whether this daemon is the leader.
     pub leads: bool,
     /// Current term.
     pub term: Term,
     /// Highest applied index.
     pub applied: LogIndex,
-    /// Latest moment at which a majority confirmed what this replica follows.
+    /// Latest time at which a majority confirmed the leader that this replica follows.
     pub confirmed: Option<Instant>,
-    /// Latest moment of which it is known that everything acknowledged until then is applied here.
+    /// Latest time for which it is known that all entries acknowledged before it are applied here.
     pub complete: Option<Instant>,
-    /// Daemons that vote.
+    /// Voting daemons.
     pub voters: Vec<DaemonId>,
-    /// Whether this daemon leads and has committed an entry of its own term, so that what it has
-    /// applied holds everything acknowledged before.
+    /// Whether this daemon is the leader and has committed an entry of its own term, so that its
+    /// applied state includes every entry acknowledged before.
     pub current: bool,
-    /// Whether this daemon is a voter whose disk came back empty.
+    /// Whether this daemon is a voter whose disk was empty after a restart.
     pub lost_disk: bool,
-    /// Why this replica does not vote although it should.
+    /// Why this replica does not take part in quorums, if it has a fault.
     pub fault: Option<String>,
 }
 
-/// Handle of a replica that runs on its own thread.
+/// Handle to a replica that runs on its own thread.
 pub struct LogDriver<M> {
     inputs: Sender<DriverInput>,
     machine: Arc<RwLock<M>>,
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the folder cannot be opened or is damaged.
+    /// Fails if the folder cannot be opened or holds damaged files.
     pub fn start(
         config: DriverConfig,
         machine: M,
@@ -176,30 +176,30 @@
         Ok(Self { inputs, machine, view })
     }
 
-    /// Hands a message to the replica.
+    /// Passes a message from another replica to this one.
     pub fn deliver(&self, from: &DaemonId, message: LogMessage) {
         let _ = self.inputs.send(DriverInput::Message(from.clone(), message));
     }
 
-    /// Proposes an entry; the outcome comes on the returned channel, which is
-    /// dropped where the outcome cannot be known.
+    /// Proposes an entry. The outcome is sent on the returned channel, which is
+    /// dropped if the outcome cannot be known.
     pub fn propose(&self, payload: EntryPayload) -> Receiver<ProposalOutcome> {
         let (sender, receiver) = flume::bounded(1);
         let _ = self.inputs.send(DriverInput::Propose(payload, sender));
         receiver
     }
 
-    /// Adds a peer that was learned of after the start; it follows the log.
+    /// Adds a peer that was discovered after the start; it follows the log.
     pub fn add_peer(&self, peer: &DaemonId) {
         let _ = self.inputs.send(DriverInput::AddPeer(peer.clone()));
     }
 
-    /// Gives up leadership.
+    /// Steps down if this replica is the leader.
     pub fn hand_over(&self) {
         let _ = self.inputs.send(DriverInput::HandOver);
     }
 
-    /// Ends the thread; later calls have no effect.
+    /// Stops the thread; later calls have no effect.
     pub fn stop(&self) {
         let _ = self.inputs.send(DriverInput::Stop);
     }
@@ -209,12 +209,12 @@
         read(&self.machine.read().expect("no holder of the lock panics"))
     }
 
-    /// What is known of the replica now.
+    /// Returns the current published state of the replica.
     pub fn view(&self) -> LogView {
         self.view.borrow().clone()
     }
 
-    /// Follows what is known of the replica.
+    /// Returns a receiver for changes of the published state.
     pub fn watch(&self) -> watch::Receiver<LogView> {
         self.view.clone()
     }
@@ -250,7 +250,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             let batch = first.into_iter().chain(inputs.try_iter().take(BATCH_INPUTS));
-            if !self.take_batch(batch) {
+            if !self.process_batch(batch) {
                 return;
             }
             self.replica.tick(Instant::now());
@@ -261,8 +261,9 @@
         }
     }
 
-    /// Steps the replica through inputs, proposals as one batch; false at a stop.
-    fn take_batch(&mut self, batch: impl Iterator<Item = DriverInput>) -> bool {
+    /// Steps the replica through inputs, with all proposals as one batch; returns false on
+    /// [`DriverInput::Stop`].
+    fn process_batch(&mut self, batch: impl Iterator<Item = DriverInput>) -> bool {
         let mut payloads = Vec::new();
         let mut senders = Vec::new();
         for input in batch {
@@ -292,8 +293,8 @@
     }
 
     fn propose_voters(&mut self, payload: EntryPayload, sender: Sender<ProposalOutcome>) {
-        if self.replica.is_leader() && self.is_present_voters(&payload) {
-            // Asked for again after a lost answer: it is so already.
+        if self.replica.is_leader() && self.matches_current_voters(&payload) {
+            // The proposal was repeated after its answer was lost; the change is already applied.
             let _ = sender.send(ProposalOutcome::VotersChanged);
         } else if self.replica.is_leader() {
             match self.replica.propose(vec![payload], Instant::now()) {
@@ -309,14 +310,14 @@
         }
     }
 
-    fn is_present_voters(&self, payload: &EntryPayload) -> bool {
-        let EntryPayload::Voters(wanted) = payload else { return false };
+    fn matches_current_voters(&self, payload: &EntryPayload) -> bool {
+        let EntryPayload::Voters(requested) = payload else { return false };
         let sorted = |voters: &[DaemonId]| {
             let mut voters = voters.to_vec();
             voters.sort();
             voters
         };
-        sorted(wanted) == sorted(self.replica.voters())
+        sorted(requested) == sorted(self.replica.voters())
     }
 
     fn propose_batch(
@@ -393,7 +394,7 @@
         }
     }
 
-    /// Opens a failed storage again after a pause, as a restart would.
+    /// Opens a failed storage again after a delay, as a restart of the daemon would.
     fn reopen_failed(&mut self) {
         let failed = matches!(self.replica.fault(), Some(crate::ReplicaFault::Storage(_)));
         let now = Instant::now();
@@ -408,7 +409,7 @@
                 self.reopen = Some(now + REOPEN_PAUSE);
                 if let Ok(storage) = open_storage(self.config.folder.as_deref()) {
                     self.replica = LogReplica::new(self.config.replica.clone(), storage, now);
-                    // Outcomes of proposals of the failed replica cannot be known here.
+                    // The outcomes of proposals to the failed replica cannot be known.
                     self.waiters.clear();
                     self.reopen = None;
                 }
--- a/crates/log/src/file.rs
+++ b/crates/log/src/file.rs
@@ -1,14 +1,15 @@
 //! Storage of a log in files below one folder.
 //!
 //! The folder holds `vote` (elections), `snapshot` (state up to an index) and
-//! segments `log-N` (records from index N on). A record is its length, its
-//! CRC-32 and its CBOR body; it counts once the segment has been synced. The
-//! two small files are replaced by writing a new one, syncing it, renaming it
-//! over the old one and syncing the folder.
+//! segments `log-N` (records from index N on). A record consists of its length,
+//! its CRC-32 and its CBOR body; it is durable once the segment has been
+//! synced. The files `vote` and `snapshot` are replaced by writing a new file,
+//! syncing it, renaming it over the old one and syncing the folder.
 //!
-//! Invariants: after a crash the end of the last segment may be torn, and is
-//! cut; a bad record with a good one behind it is damage, and opening fails
-//! rather than forgetting what was acknowledged.
+//! Invariants: after a crash the last segment may end with a torn record, which
+//! is cut off when the segment is opened. An invalid record that is followed by
+//! a valid one is damage: opening fails, because cutting there could drop
+//! acknowledged entries.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -44,11 +45,11 @@
 }
 
 impl FileStorage {
-    /// Opens the folder, creating it where it does not exist, and cuts a torn tail.
+    /// Opens the folder, creating it if it does not exist, and cuts off a torn tail.
     ///
     /// # Errors
     ///
-    /// Fails where a file cannot be read or holds damage other than a torn tail.
+    /// Fails if a file cannot be read or has damage other than a torn tail.
     pub fn open(folder: &Path) -> Result<Self, StoreLogError> {
         std::fs::create_dir_all(folder).map_err(|e| access("create", folder, e))?;
         let vote = read_small(&folder.join(VOTE_FILE))?.unwrap_or_default();
@@ -77,7 +78,7 @@
         Ok(())
     }
 
-    /// Writes a fresh segment of the entries after the snapshot and drops the older ones.
+    /// Writes the entries after the snapshot to a new segment and removes the older segments.
     fn roll_segment(&mut self) -> Result<(), StoreLogError> {
         let old = list_segments(&self.folder)?;
         let first = *self.window.snapshot_index() + 1;
@@ -165,7 +166,8 @@
     bytes.extend(body);
 }
 
-/// Reads the framed record at an offset; none where it is cut short or has another checksum.
+/// Reads the framed record at an offset; returns none if it is truncated, too long or its checksum
+/// does not match.
 fn framed_at(bytes: &[u8], offset: usize) -> Option<&[u8]> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let length = u32::from_le_bytes(header[..4].try_into().ok()?) as usize;
@@ -206,7 +208,7 @@
     Ok(file)
 }
 
-/// Reads a segment's records into the window and cuts a torn tail off the last segment.
+/// Reads a segment's records into the window; cuts off a torn tail if it is the last segment.
 fn replay_segment(path: &Path, last: bool, window: &mut EntryWindow) -> Result<(), StoreLogError> {
     let mut bytes = Vec::new();
     File::open(path)
@@ -218,7 +220,7 @@
             ciborium::from_reader::<SegmentRecord, _>(body).ok().zip(Some(body.len()))
         });
         let Some((record, length)) = record else {
-            if !last || has_record_behind(&bytes, offset) {
+            if !last || has_record_after(&bytes, offset) {
                 return Err(StoreLogError::DamagedRecord {
                     path: path.to_owned(),
                     offset: offset as u64,
@@ -243,9 +245,10 @@
     }
 }
 
-/// Whether a whole record starts anywhere behind a bad one, which a torn write cannot leave.
-fn has_record_behind(bytes: &[u8], bad: usize) -> bool {
-    (bad + 1..bytes.len()).any(|offset| {
+/// Returns whether a valid record starts anywhere after an invalid one. A torn write cannot leave
+/// that.
+fn has_record_after(bytes: &[u8], invalid: usize) -> bool {
+    (invalid + 1..bytes.len()).any(|offset| {
         framed_at(bytes, offset).is_some_and(|body| {
             !body.is_empty() && ciborium::from_reader::<SegmentRecord, _>(body).is_ok()
         })
--- a/crates/log/src/leader.rs
+++ b/crates/log/src/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the replicas that follow it.
+//! Leader state: replication progress of the followers, and heartbeat rounds.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,20 +6,21 @@
 use hollowbarrow_schema::{DaemonId, LogIndex};
 use tokio::time::Instant;
 
-/// How far one follower has come.
+/// Replication progress of one follower.
 #[derive(Clone, Debug)]
 pub(crate) struct FollowerProgress {
     /// Next index to send.
     pub(crate) next: LogIndex,
-    /// Highest index known to be synced there.
+    /// Highest index known to be synced on the follower.
     pub(crate) matched: LogIndex,
-    /// Whether the follower was ever counted in this term; a disk that is empty after that was lost.
+    /// Whether the follower was counted in a quorum in this term; if its disk is empty later, it was
+    /// lost.
     pub(crate) counted: bool,
-    /// When the follower last answered.
+    /// Time of the follower's last reply.
     pub(crate) contact: Option<Instant>,
-    /// Latest round that the follower echoed.
+    /// Latest heartbeat round that the follower echoed.
     pub(crate) round: u64,
-    /// When a snapshot was last sent, so that it is not sent with each heartbeat.
+    /// Time at which a snapshot was last sent, so that it is not sent with each heartbeat.
     pub(crate) snapshot_sent: Option<Instant>,
 }
 
@@ -27,15 +28,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderRole {
     pub(crate) progress: BTreeMap<DaemonId, FollowerProgress>,
-    /// Own highest synced index.
+    /// Highest index synced by the leader itself.
     pub(crate) synced: LogIndex,
     pub(crate) next_heartbeat: Instant,
-    /// Current heartbeat round and when it and the ones before it started.
+    /// Current heartbeat round.
     pub(crate) round: u64,
+    /// Start times of the current round and of earlier ones that are not confirmed yet.
     pub(crate) round_starts: BTreeMap<u64, Instant>,
     /// Start of the latest round that a majority has echoed.
     pub(crate) confirmed: Instant,
-    /// Whether this leader was elected while every log was empty.
+    /// Whether this leader was elected while the log of every voter was empty.
     pub(crate) founding: bool,
 }
 
@@ -58,12 +60,12 @@
         }
     }
 
-    /// Highest index that a majority of the voters has synced.
-    pub(crate) fn majority_index(&self, own: &DaemonId, voters: &[DaemonId]) -> LogIndex {
+    /// Returns the highest index that a majority of the voters has synced.
+    pub(crate) fn majority_index(&self, local: &DaemonId, voters: &[DaemonId]) -> LogIndex {
         let mut matched: Vec<LogIndex> = voters
             .iter()
             .map(|voter| {
-                if voter == own {
+                if voter == local {
                     self.synced
                 } else {
                     self.progress.get(voter).map_or(LogIndex(0), |progress| progress.matched)
@@ -81,12 +83,12 @@
         self.next_heartbeat = now + interval;
     }
 
-    /// Moves the time of the latest confirmed round on, as the replies allow.
-    pub(crate) fn confirm_rounds(&mut self, own: &DaemonId, voters: &[DaemonId]) {
+    /// Updates the start time of the latest round that a majority of the voters has echoed.
+    pub(crate) fn confirm_rounds(&mut self, local: &DaemonId, voters: &[DaemonId]) {
         let mut rounds: Vec<u64> = voters
             .iter()
             .map(|voter| match self.progress.get(voter) {
-                _ if voter == own => self.round,
+                _ if voter == local => self.round,
                 Some(progress) => progress.round,
                 None => 0,
             })
--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -1,11 +1,12 @@
-//! One replica of a log: it votes, leads or follows.
+//! One replica of a log, as follower, candidate or leader.
 //!
-//! The replica is driven with messages and the time and answers with messages.
-//! It holds no thread and no socket. Its rules are those of leader-based
-//! replication with terms: one vote a term, an up-to-date check, commitment by
-//! a majority in the leader's own term, and one change of the voters at a time.
-//! Trial elections keep a returning replica from disturbing a healthy leader;
-//! a leader that a majority has not confirmed for an election time steps down.
+//! The replica is driven by messages and the current time and outputs messages.
+//! It has no thread and no socket. It implements leader-based replication with
+//! terms: one vote per term, an up-to-date check of the candidate's log,
+//! commitment by a majority in the leader's own term, and one change of the
+//! voters at a time. Trial elections (pre-votes) prevent a returning replica
+//! from disturbing a healthy leader; a leader that no majority has confirmed
+//! for two election timeouts steps down.
 
 mod election;
 mod replication;
@@ -25,9 +26,9 @@
 use crate::leader::LeaderRole;
 use crate::storage::{LogStorage, StoreLogError, VoteRecord};
 
-/// Most entries in one message.
+/// Maximum number of entries in one message.
 const BATCH_ENTRIES: usize = 512;
-/// A heartbeat goes out this many times in each election time.
+/// Number of heartbeats per election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 4;
 
 /// Fixed settings of a replica.
@@ -44,7 +45,7 @@
 }
 
 impl ReplicaConfig {
-    /// Creates settings for a daemon among its peers, of whom some vote from the first start on.
+    /// Creates settings for a daemon, its peers and the initial voters.
     pub fn new(id: &DaemonId, peers: &[DaemonId], first_voters: &[DaemonId]) -> Self {
         Self {
             id: id.clone(),
@@ -63,30 +64,32 @@
         self.peers.insert(peer.clone());
     }
 
-    /// Sets whether peers that do not vote follow the log too.
+    /// Sets whether peers that are not voters follow the log as learners.
     pub fn with_learners(mut self, learners: bool) -> Self {
         self.learners = learners;
         self
     }
 
-    /// Sets whether this replica may found a log together with others whose disks are empty too.
+    /// Sets whether this replica may found a log together with others whose disks are also empty.
     pub fn with_founding(mut self, founding: bool) -> Self {
         self.founding = founding;
         self
     }
 
-    /// Sets the silence after which a voter stands for election.
+    /// Sets the election timeout: the time without a leader's message after which a voter starts an
+    /// election.
     pub fn with_election(mut self, election: Duration) -> Self {
         self.election = election;
         self
     }
 
-    /// Sets the time after which a voter that has just started, and has heard of no leader since,
-    /// stands for election; without it, it waits as if it missed a leader.
+    /// Sets the election timeout of a voter that has received no leader's message since its start;
+    /// by default the usual election timeout applies.
     ///
-    /// Where one leads it comes to nothing, since who follows a leader refuses a trial. Votes that a
-    /// leader was given before a restart do not hold such a voter back, so that whoever counts on
-    /// a leader's confirmation must wait out an election time at the beginning of a term.
+    /// Such an election fails if there is a leader, because voters that follow one reject a trial.
+    /// Votes that the voter gave a leader before its own restart do not delay the election, so code
+    /// that relies on a leader's confirmation must wait for an election timeout at the beginning of
+    /// a term.
     pub fn with_first_election(mut self, first_election: Duration) -> Self {
         self.first_election = Some(first_election);
         self
@@ -99,7 +102,7 @@
     }
 }
 
-/// Why a replica neither votes nor acknowledges.
+/// Why a replica neither votes nor acknowledges entries.
 #[derive(Debug, Error)]
 pub enum ReplicaFault {
     /// The storage failed.
@@ -111,7 +114,7 @@
     /// The replica is a voter whose disk is empty although the log is not.
     #[error("the data folder is empty although the log is not; replace this voter")]
     LostDisk,
-    /// A leader wants entries replaced that were committed here.
+    /// A leader sent entries that conflict with committed entries of this replica.
     #[error("the leader's log contradicts committed entries; its voters lost their state")]
     Diverged,
 }
@@ -140,22 +143,27 @@
     commit: LogIndex,
     applied: LogIndex,
     deadline: Instant,
-    heard: Option<Instant>,
-    /// Times that this replica has stood since its start.
-    stood: u32,
-    /// When it last stood.
-    stood_at: Instant,
+    /// Time of the last message from a leader.
+    leader_contact: Option<Instant>,
+    /// Number of elections that this replica has started since its own start.
+    elections: u32,
+    /// Time at which this replica last started an election.
+    last_election: Instant,
+    /// See [`LogReplica::confirmed`].
     confirmed: Option<Instant>,
+    /// See [`LogReplica::complete`].
     complete: Option<Instant>,
     fault: Option<ReplicaFault>,
+    /// Messages that may be sent before the storage is synced.
     early: Vec<(DaemonId, LogMessage)>,
+    /// Messages that must wait for the sync of the storage.
     late: Vec<(DaemonId, LogMessage)>,
     installed: bool,
     rng: ChaCha8Rng,
 }
 
 impl<S: LogStorage> LogReplica<S> {
-    /// Creates a replica over what its storage holds.
+    /// Creates a replica from the state in its storage.
     pub fn new(config: ReplicaConfig, storage: S, now: Instant) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(config.seed);
         let snapshot = storage.window().snapshot_index();
@@ -167,9 +175,9 @@
             commit: snapshot,
             applied: snapshot,
             deadline: now,
-            heard: None,
-            stood: 0,
-            stood_at: now,
+            leader_contact: None,
+            elections: 0,
+            last_election: now,
             confirmed: None,
             complete: None,
             fault: None,
@@ -180,46 +188,46 @@
         };
         replica.refresh_voters();
         if !replica.config.founding {
-            // Where no log is being founded, a voter with an empty disk has lost it.
+            // If no log is being founded, a voter whose disk is empty has lost its disk.
             replica.check_quorum_member();
         }
         replica.reset_deadline(now);
         replica
     }
 
-    /// Adds a peer that was learned of after the start: it follows the log, and may become a voter.
+    /// Adds a peer that was discovered after the start: it follows the log and may become a voter.
     pub fn add_peer(&mut self, peer: DaemonId) {
         if self.config.peers.insert(peer) {
             self.track_followers();
         }
     }
 
-    /// Name of this replica's daemon.
+    /// Returns the id of this replica's daemon.
     pub fn id(&self) -> &DaemonId {
         &self.config.id
     }
 
-    /// Current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.storage.vote().term
     }
 
-    /// Highest committed index known here.
+    /// Returns the highest index known to be committed.
     pub fn commit(&self) -> LogIndex {
         self.commit
     }
 
-    /// Whether this replica leads.
+    /// Returns whether this replica is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, ReplicaRole::Leader(_))
     }
 
-    /// Whether this replica leads and has committed an entry of its own term.
+    /// Returns whether this replica is the leader and has committed an entry of its own term.
     pub fn is_current(&self) -> bool {
         self.is_leader() && self.storage.window().term_at(self.commit) == Some(self.term())
     }
 
-    /// The leader of the current term, as far as known.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&DaemonId> {
         match &self.role {
             ReplicaRole::Leader(_) => Some(&self.config.id),
@@ -228,7 +236,8 @@
         }
     }
 
-    /// Latest moment at which a majority is known to have confirmed what this replica follows.
+    /// Returns the latest time at which a majority is known to have confirmed the leader that this
+    /// replica follows.
     pub fn confirmed(&self) -> Option<Instant> {
         match &self.role {
             ReplicaRole::Leader(role) => Some(role.confirmed),
@@ -236,8 +245,8 @@
         }
     }
 
-    /// Latest moment of which it is known that everything acknowledged until then is committed
-    /// here; none since the start if this replica has not caught up with a leader yet.
+    /// Returns the latest time for which it is known that all entries acknowledged before it are
+    /// committed here; none if this replica has not caught up with a leader since its start.
     pub fn complete(&self) -> Option<Instant> {
         match &self.role {
             ReplicaRole::Leader(role) if self.is_current() => Some(role.confirmed),
@@ -245,27 +254,27 @@
         }
     }
 
-    /// Daemons that vote, by the latest entry that names them.
+    /// Returns the voters, as stated by the latest entry that changes them.
     pub fn voters(&self) -> &[DaemonId] {
         &self.voters
     }
 
-    /// Why this replica takes no part in quorums, if it does not.
+    /// Returns why this replica takes no part in quorums, if it has a fault.
     pub fn fault(&self) -> Option<&ReplicaFault> {
         self.fault.as_ref()
     }
 
-    /// The storage, for reading.
+    /// Returns the storage for reading.
     pub fn storage(&self) -> &S {
         &self.storage
     }
 
-    /// Gives the storage back, for a restart in tests.
+    /// Returns the storage, for restarts in tests.
     pub fn into_storage(self) -> S {
         self.storage
     }
 
-    /// When [`LogReplica::tick`] is next due.
+    /// Returns the time at which [`LogReplica::tick`] is next due.
     pub fn next_deadline(&self) -> Instant {
         match &self.role {
             ReplicaRole::Leader(role) => role.next_heartbeat,
@@ -273,7 +282,8 @@
         }
     }
 
-    /// Whether a snapshot replaced the applied state; the caller restores from it first.
+    /// Takes the snapshot that replaced the applied state, if any; the caller must restore the state
+    /// from it before it applies entries.
     pub fn take_installed(&mut self) -> Option<&LogSnapshot> {
         if !std::mem::take(&mut self.installed) {
             return None;
@@ -283,7 +293,7 @@
         Some(snapshot)
     }
 
-    /// Committed entries that were not taken yet, in order.
+    /// Takes the committed entries that were not taken before, in order.
     pub fn take_committed(&mut self) -> Vec<LogEntry> {
         let count = self.commit.saturating_sub(*self.applied) as usize;
         let first = LogIndex(*self.applied + 1);
@@ -295,16 +305,16 @@
         entries
     }
 
-    /// Messages that may leave before the storage is synced.
+    /// Takes the messages that may be sent before the storage is synced.
     pub fn take_early(&mut self) -> Vec<(DaemonId, LogMessage)> {
         std::mem::take(&mut self.early)
     }
 
-    /// Syncs the storage and returns the messages that had to wait for it.
+    /// Syncs the storage and returns all messages, including those that had to wait for the sync.
     pub fn flush(&mut self, now: Instant) -> Vec<(DaemonId, LogMessage)> {
         if self.storage_fault().is_none() {
             match self.storage.sync() {
-                Ok(()) => self.count_own_sync(now),
+                Ok(()) => self.record_local_sync(now),
                 Err(error) => self.fail(error.into()),
             }
         }
@@ -313,7 +323,7 @@
         messages
     }
 
-    fn count_own_sync(&mut self, now: Instant) {
+    fn record_local_sync(&mut self, now: Instant) {
         let last = self.storage.window().last_index();
         if let ReplicaRole::Leader(role) = &mut self.role {
             role.synced = last;
@@ -321,7 +331,7 @@
         }
     }
 
-    /// Acts on the passing of time.
+    /// Sends heartbeats, steps down or starts an election if the deadline has passed.
     pub fn tick(&mut self, now: Instant) {
         if now < self.next_deadline() {
             return;
@@ -336,16 +346,17 @@
         }
         self.reset_deadline(now);
         if self.is_voter() && self.storage_fault().is_none() {
-            self.stood = self.stood.saturating_add(1);
-            self.stood_at = now;
+            self.elections = self.elections.saturating_add(1);
+            self.last_election = now;
             self.campaign(now, true, false);
         }
     }
 
-    /// Appends payloads where this replica leads; returns the index of the first.
+    /// Appends payloads if this replica is the leader; returns the index of the first one.
     ///
-    /// Returns none where it does not lead, or where a voters' change is asked
-    /// for while another one is not committed yet or by more than one daemon.
+    /// Returns none if it is not the leader, if a change of the voters is proposed
+    /// while another one is not committed yet, if the change adds or removes more
+    /// than one daemon or adds an unknown one, or if the storage fails.
     pub fn propose(&mut self, payloads: Vec<EntryPayload>, now: Instant) -> Option<LogIndex> {
         if !self.is_leader() || !payloads.iter().all(|payload| self.may_propose(payload)) {
             return None;
@@ -364,7 +375,8 @@
         Some(first)
     }
 
-    /// Steps down where this replica leads, so that another voter takes over at once.
+    /// Steps down if this replica is the leader and delays its next election, so that another voter
+    /// becomes the leader first.
     pub fn hand_over(&mut self, now: Instant) {
         if self.is_leader() {
             self.step_down(self.term(), None, now);
@@ -372,7 +384,7 @@
         }
     }
 
-    /// Acts on a message from another replica.
+    /// Processes a message from another replica.
     pub fn step(&mut self, from: &DaemonId, message: LogMessage, now: Instant) {
         match message {
             LogMessage::Vote(request) => self.on_vote(from, &request, now),
@@ -416,7 +428,8 @@
             return false;
         }
         for entry in entries {
-            // One at a time, so that a removal and a return in one batch are both seen.
+            // Entries are applied one at a time, so that a removal and a later return of a voter in
+            // one batch both take effect.
             if let EntryPayload::Voters(voters) = &entry.payload {
                 self.set_voters(voters.clone());
             }
@@ -426,17 +439,19 @@
 
     fn reset_deadline(&mut self, now: Instant) {
         let first = self.config.first_election.filter(|_| self.is_starting());
-        // Where messages take longer than the first silence, each try is cut short by the next one,
-        // and where every vote is needed voters get in each other's way: tries that fail grow apart.
-        let grown = first.map(|silence| silence * 2u32.saturating_pow(self.stood));
-        let silence = grown.map_or(self.config.election, |grown| grown.min(self.config.election));
+        // If messages take longer than the first election timeout, each election is interrupted by
+        // the next one, and if every vote is needed, candidates block each other. The timeout
+        // therefore doubles with each election, up to the usual election timeout.
+        let grown = first.map(|timeout| timeout * 2u32.saturating_pow(self.elections));
+        let timeout = grown.map_or(self.config.election, |grown| grown.min(self.config.election));
         let jitter = self.rng.random_range(1.0..2.0);
-        self.deadline = now + silence.mul_f64(jitter);
+        self.deadline = now + timeout.mul_f64(jitter);
     }
 
-    /// Whether no leader was heard of, and this one has not led, since the start.
+    /// Returns whether this replica has received no leader's message and has not led since its
+    /// start.
     fn is_starting(&self) -> bool {
-        self.heard.is_none() && self.confirmed.is_none()
+        self.leader_contact.is_none() && self.confirmed.is_none()
     }
 
     fn step_down(&mut self, term: Term, leader: Option<DaemonId>, now: Instant) {
@@ -454,7 +469,7 @@
         self.reset_deadline(now);
     }
 
-    /// Replaces the applied entries by a snapshot of the state that they led to.
+    /// Replaces the applied entries by a snapshot of the resulting state.
     pub fn compact(&mut self, state: Vec<u8>) {
         let window = self.storage.window();
         let Some(term) = window.term_at(self.applied) else { return };
@@ -467,7 +482,7 @@
         }
     }
 
-    /// When each follower last answered; empty where this replica does not lead.
+    /// Returns the time of each follower's last reply; empty if this replica is not the leader.
     pub fn contacts(&self) -> BTreeMap<DaemonId, Option<Instant>> {
         match &self.role {
             ReplicaRole::Leader(role) => {
--- a/crates/log/src/replica/election.rs
+++ b/crates/log/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: trials, votes and who leads.
+//! Elections: trials (pre-votes), votes and the start of leadership.
 
 use std::collections::BTreeSet;
 
@@ -20,12 +20,12 @@
             if !self.save_vote(vote) {
                 return;
             }
-            // The votes take as long as the trial did.
+            // Collecting the votes takes as long as the trial did, so the deadline starts anew.
             self.reset_deadline(now);
         }
-        let own = BTreeSet::from([self.config.id.clone()]);
-        let blank = if self.is_blank() { own.clone() } else { BTreeSet::new() };
-        self.role = ReplicaRole::Candidate { trial, granted: own, blank, founding };
+        let local = BTreeSet::from([self.config.id.clone()]);
+        let blank = if self.is_blank() { local.clone() } else { BTreeSet::new() };
+        self.role = ReplicaRole::Candidate { trial, granted: local, blank, founding };
         let window = self.storage.window();
         let request = VoteRequest {
             term,
@@ -45,9 +45,9 @@
             return;
         }
         let follows_leader = self.is_leader()
-            || self
-                .heard
-                .is_some_and(|heard| now.saturating_duration_since(heard) < self.config.election);
+            || self.leader_contact.is_some_and(|contact| {
+                now.saturating_duration_since(contact) < self.config.election
+            });
         if follows_leader && self.leader() != Some(from) {
             return self.answer_vote(from, request, false);
         }
@@ -64,12 +64,12 @@
         let free = request.term > self.term()
             || (request.term == self.term()
                 && self.storage.vote().vote.as_ref().is_none_or(|vote| vote == from));
-        // Of two that stand at once the one with the lower name goes first, unless it has stood for a
-        // while in vain.
-        let yields = !request.trial || !self.stands_before(from, request, now);
+        // Of two simultaneous candidates, the one with the lower id has precedence, unless its
+        // election started half an election timeout ago or earlier.
+        let yields = !request.trial || !self.has_precedence(from, request, now);
         let mut granted = current && free && yields && self.check_quorum_member();
         if granted && request.trial {
-            // Who stands now is left the time to be elected.
+            // Gives the candidate time to be elected.
             self.reset_deadline(now);
         }
         if granted && !request.trial {
@@ -81,15 +81,16 @@
         self.answer_vote(from, request, granted);
     }
 
-    /// Whether this replica stands at the same time as another one and goes first.
-    fn stands_before(&self, other: &DaemonId, request: &VoteRequest, now: Instant) -> bool {
-        let standing = matches!(self.role, ReplicaRole::Candidate { .. });
-        let fresh = now.saturating_duration_since(self.stood_at) < self.config.election / 2;
+    /// Returns whether this replica is a candidate at the same time as another one and has
+    /// precedence.
+    fn has_precedence(&self, other: &DaemonId, request: &VoteRequest, now: Instant) -> bool {
+        let candidate = matches!(self.role, ReplicaRole::Candidate { .. });
+        let fresh = now.saturating_duration_since(self.last_election) < self.config.election / 2;
         let window = self.storage.window();
-        // One with an older log than the other's cannot be elected by it.
+        // A replica does not vote for a candidate whose log is older than its own.
         let electable =
             (window.last_term(), window.last_index()) >= (request.last_term, request.last_index);
-        standing && fresh && electable && self.config.id < *other
+        candidate && fresh && electable && self.config.id < *other
     }
 
     pub(super) fn answer_vote(&mut self, from: &DaemonId, request: &VoteRequest, granted: bool) {
@@ -104,7 +105,7 @@
             return self.step_down(reply.term, None, now);
         }
         let expected = Term(*self.term() + 1);
-        let own_term = self.term();
+        let current_term = self.term();
         let ReplicaRole::Candidate { trial, granted, blank, .. } = &mut self.role else { return };
         if *trial != reply.trial {
             return;
@@ -112,7 +113,7 @@
         if reply.blank {
             blank.insert(from.clone());
         }
-        let term = if *trial { expected } else { own_term };
+        let term = if *trial { expected } else { current_term };
         if reply.granted && reply.term == term {
             granted.insert(from.clone());
         }
--- a/crates/log/src/replica/replication.rs
+++ b/crates/log/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: what a leader sends, what a follower takes, and what is committed.
+//! Replication: sending and accepting entries and snapshots, and advancing the commit index.
 
 use std::time::Duration;
 
@@ -18,16 +18,17 @@
             role.start_round(now, interval);
             role.confirm_rounds(&self.config.id, &self.voters);
         }
-        // Learners count in no quorum, so they need to hear from the leader only now and then.
-        let learners_too = role.round.is_multiple_of(u64::from(HEARTBEATS_PER_ELECTION));
+        // Learners are in no quorum, so they get a heartbeat only once per election timeout.
+        let include_learners = role.round.is_multiple_of(u64::from(HEARTBEATS_PER_ELECTION));
         let followers: Vec<DaemonId> = role.progress.keys().cloned().collect();
         for follower in followers {
-            let due = heartbeat && (learners_too || self.voters.contains(&follower));
+            let due = heartbeat && (include_learners || self.voters.contains(&follower));
             self.send_append(&follower, due, now);
         }
     }
 
-    /// Sends what a follower lacks; without a heartbeat only where there is something.
+    /// Sends the entries or the snapshot that a follower lacks; sends an empty message only as a
+    /// heartbeat.
     pub(super) fn send_append(&mut self, to: &DaemonId, heartbeat: bool, now: Instant) {
         let term = self.term();
         let commit = self.commit;
@@ -75,7 +76,7 @@
             return self.answer_append(from, false, LogIndex(0), request.round);
         }
         self.step_down(request.term, Some(from.clone()), now);
-        self.heard = Some(now);
+        self.leader_contact = Some(now);
         let confirmed = now.checked_sub(Duration::from_millis(request.confirmed_ms));
         self.confirmed = self.confirmed.max(confirmed);
         if request.founding && self.is_blank() && self.storage.is_durable() {
@@ -89,11 +90,12 @@
             return self.answer_append(from, false, hint, request.round);
         }
         let matched = LogIndex(*request.previous_index + request.entries.len() as u64);
-        if !self.take_entries(request.entries) {
+        if !self.store_entries(request.entries) {
             return;
         }
         self.commit = self.commit.max(request.commit.min(matched));
-        // A commit of an earlier term may lack entries that were acknowledged in that term.
+        // If the last committed entry is of an earlier term, entries that were acknowledged in that
+        // term may still be missing here.
         if self.commit >= request.commit
             && self.storage.window().term_at(self.commit) == Some(request.term)
         {
@@ -102,7 +104,7 @@
         self.answer_append(from, true, matched, request.round);
     }
 
-    /// Index up to which the leader should try next, after a mismatch.
+    /// Returns the index after which the leader should send entries next, following a mismatch.
     pub(super) fn conflict_hint(&self, index: LogIndex) -> LogIndex {
         let window = self.storage.window();
         if index > window.last_index() {
@@ -116,17 +118,18 @@
         hint
     }
 
-    /// Appends the entries that are not held yet, dropping those that conflict.
-    pub(super) fn take_entries(&mut self, entries: Vec<LogEntry>) -> bool {
+    /// Appends the entries that are not stored yet and removes stored entries that conflict with
+    /// them.
+    pub(super) fn store_entries(&mut self, entries: Vec<LogEntry>) -> bool {
         let window = self.storage.window();
-        let held = |entry: &LogEntry| {
+        let stored = |entry: &LogEntry| {
             entry.index <= window.snapshot_index()
                 || window.term_at(entry.index) == Some(entry.term)
         };
-        let fresh: Vec<LogEntry> = entries.into_iter().skip_while(held).collect();
+        let fresh: Vec<LogEntry> = entries.into_iter().skip_while(stored).collect();
         let Some(first) = fresh.first() else { return true };
         if first.index <= self.commit {
-            // What was accepted never reverts, whoever asks.
+            // Committed entries are never replaced, whatever a leader sends.
             self.fault = Some(ReplicaFault::Diverged);
             return false;
         }
@@ -147,8 +150,8 @@
         matched: LogIndex,
         round: u64,
     ) {
-        // A learner's answer only moves its own progress, so it needs no disk; a
-        // voter's counts in a quorum, and says so where it must not be counted.
+        // A learner's reply only updates its own progress, so it needs no disk. A
+        // voter's reply is counted in a quorum unless it states that it must not be.
         let counts = !self.is_voter() || self.check_quorum_member();
         let reply = AppendReply { term: self.term(), accepted, matched, counts, round };
         self.late.push((to.clone(), LogMessage::AppendReply(reply)));
@@ -194,7 +197,8 @@
         }
         self.commit = index;
         let removed = !self.is_voter();
-        // Followers hear of the commit at once, so that they apply it within a message.
+        // The commit index is sent immediately, so that followers apply the entries after one
+        // message instead of the next heartbeat.
         self.announce_commit(now);
         if removed {
             self.step_down(term, None, now);
@@ -214,7 +218,7 @@
             return;
         }
         self.step_down(request.term, Some(from.clone()), now);
-        self.heard = Some(now);
+        self.leader_contact = Some(now);
         let index = request.snapshot.index;
         if index > self.commit {
             if let Err(error) = self.storage.install_snapshot(request.snapshot) {
--- a/crates/log/src/replica/voters.rs
+++ b/crates/log/src/replica/voters.rs
@@ -1,4 +1,4 @@
-//! Who votes, and whether this replica may be counted.
+//! The set of voters, and whether this replica may be counted in quorums.
 
 use std::collections::BTreeSet;
 
@@ -11,26 +11,27 @@
 impl<S: LogStorage> LogReplica<S> {
     pub(super) fn may_propose(&self, payload: &EntryPayload) -> bool {
         let EntryPayload::Voters(voters) = payload else { return true };
-        let wanted: BTreeSet<&DaemonId> = voters.iter().collect();
+        let requested: BTreeSet<&DaemonId> = voters.iter().collect();
         let current: BTreeSet<&DaemonId> = self.voters.iter().collect();
         let pending = self
             .storage
             .window()
             .entries_from(LogIndex(*self.commit + 1), usize::MAX)
             .any(|entry| matches!(entry.payload, EntryPayload::Voters(_)));
-        // Who votes already is known by the log; the settings may name neither it nor this daemon.
-        let known = wanted.difference(&current).all(|id| self.config.peers.contains(*id));
+        // Current voters are known from the log; the settings may list neither them nor this daemon.
+        let known = requested.difference(&current).all(|id| self.config.peers.contains(*id));
         !pending
             && known
-            && !wanted.is_empty()
-            && wanted.symmetric_difference(&current).count() == 1
+            && !requested.is_empty()
+            && requested.symmetric_difference(&current).count() == 1
     }
 
     pub(super) fn is_voter(&self) -> bool {
         self.voters.contains(&self.config.id)
     }
 
-    /// Reads the voters from the latest entry that names them, the snapshot or the settings.
+    /// Reads the voters from the latest entry that changes them, else from the snapshot, else from
+    /// the settings.
     pub(super) fn refresh_voters(&mut self) {
         let window = self.storage.window();
         let named = window.newest_first().find_map(|entry| match &entry.payload {
@@ -45,8 +46,8 @@
     }
 
     pub(super) fn set_voters(&mut self, voters: Vec<DaemonId>) {
-        // Before this replica has caught up, what it reads is history: it may have been admitted,
-        // and have voted, before its disk was lost.
+        // Before this replica has caught up, it may read old entries: an entry that adds it as a
+        // voter may be from before its disk was lost, and it may have voted since.
         let admissible = self.config.founding || self.complete.is_some();
         let joined = admissible
             && voters.contains(&self.config.id)
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Daemons that this replica sends entries to when it leads.
+    /// Returns the daemons to which this replica sends entries as leader.
     pub(super) fn followers(&self) -> BTreeSet<DaemonId> {
         let learners = self.config.peers.iter().filter(|_| self.config.learners);
         learners.chain(&self.voters).filter(|id| **id != self.config.id).cloned().collect()
@@ -91,7 +92,8 @@
             .clone()
     }
 
-    /// Whether this replica may count in a quorum; notes why where it may not.
+    /// Returns whether this replica may be counted in a quorum; records the fault if it is a voter
+    /// that may not.
     pub(super) fn check_quorum_member(&mut self) -> bool {
         if self.storage_fault().is_some() {
             return false;
--- a/crates/log/src/storage.rs
+++ b/crates/log/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a replica needs of its storage, and the storage of daemons without a disk.
+//! Storage interface of a replica, and the storage of daemons without a disk.
 
 use std::collections::VecDeque;
 use std::path::PathBuf;
@@ -7,33 +7,33 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Failure of a log's storage; the replica stops voting and acknowledging.
+/// Failure of a log's storage, after which the replica stops voting and acknowledging.
 #[derive(Debug, Error)]
 pub enum StoreLogError {
     /// Reading, writing or syncing a file failed.
     #[error("cannot {action} {path}", path = path.display())]
     AccessFile {
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
-        /// File or folder it was tried on.
+        /// File or folder that was accessed.
         path: PathBuf,
-        /// Why it failed.
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// A record that had been synced no longer has its checksum.
+    /// A record cannot be decoded or its checksum does not match.
     #[error("damaged record at byte {offset} of {path}", path = path.display())]
     DamagedRecord {
         /// File that holds the record.
         path: PathBuf,
-        /// Where the record starts, in bytes.
+        /// Start of the record in bytes.
         offset: u64,
     },
-    /// Records do not follow one another.
-    #[error("entry {found} stands where {expected} was expected")]
+    /// The index of an entry does not follow that of the previous entry.
+    #[error("found entry {found} where entry {expected} was expected")]
     BrokenOrder {
-        /// Index that was expected.
+        /// Expected index.
         expected: u64,
-        /// Index that was found.
+        /// Index found.
         found: u64,
     },
     /// A record cannot be encoded.
@@ -41,12 +41,12 @@
     EncodeRecord(String),
 }
 
-/// What a voter must remember about elections.
+/// Election state that a voter must persist.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoteRecord {
     /// Highest term seen.
     pub term: Term,
-    /// Who got this voter's vote in that term.
+    /// Candidate that this voter voted for in that term.
     pub vote: Option<DaemonId>,
     /// Whether this disk has ever been part of the log's quorum.
     pub initialised: bool,
@@ -54,48 +54,48 @@
 
 /// Storage of one replica of a log.
 pub trait LogStorage: Send {
-    /// Whether what was synced survives a restart.
+    /// Returns whether synced data survives a restart.
     fn is_durable(&self) -> bool;
 
-    /// What is remembered about elections.
+    /// Returns the stored election state.
     fn vote(&self) -> &VoteRecord;
 
-    /// Remembers a vote; it is synced on return.
+    /// Stores election state; it is synced on return.
     ///
     /// # Errors
     ///
-    /// Fails where the vote may not have reached the disk.
+    /// Fails if the state may not be durable.
     fn set_vote(&mut self, vote: VoteRecord) -> Result<(), StoreLogError>;
 
-    /// The entries and snapshot held.
+    /// Returns the stored snapshot and entries.
     fn window(&self) -> &EntryWindow;
 
-    /// Adds entries after the last one; they count only after [`LogStorage::sync`].
+    /// Appends entries after the last one; they are durable only after [`LogStorage::sync`].
     ///
     /// # Errors
     ///
-    /// Fails where an entry cannot be written.
+    /// Fails if an entry cannot be written.
     fn append(&mut self, entries: &[LogEntry]) -> Result<(), StoreLogError>;
 
-    /// Drops the entries from an index on.
+    /// Removes the entries from an index on.
     ///
     /// # Errors
     ///
-    /// Fails where the cut cannot be written.
+    /// Fails if the truncation cannot be written.
     fn truncate_from(&mut self, index: LogIndex) -> Result<(), StoreLogError>;
 
-    /// Takes a snapshot in place of the entries that it covers; synced on return.
+    /// Replaces the entries that a snapshot covers by the snapshot; it is synced on return.
     ///
     /// # Errors
     ///
-    /// Fails where the snapshot may not have reached the disk.
+    /// Fails if the snapshot may not be durable.
     fn install_snapshot(&mut self, snapshot: LogSnapshot) -> Result<(), StoreLogError>;
 
     /// Makes all appended entries durable.
     ///
     /// # Errors
     ///
-    /// Fails where the entries may not have reached the disk.
+    /// Fails if the entries may not be durable.
     fn sync(&mut self) -> Result<(), StoreLogError>;
 }
 
@@ -107,32 +107,32 @@
 }
 
 impl EntryWindow {
-    /// The snapshot that stands before the entries, if any.
+    /// Returns the snapshot that precedes the entries, if any.
     pub fn snapshot(&self) -> Option<&LogSnapshot> {
         self.snapshot.as_ref()
     }
 
-    /// Index covered by the snapshot, 0 without one.
+    /// Returns the last index that the snapshot covers, 0 without a snapshot.
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot.as_ref().map_or(LogIndex(0), |snapshot| snapshot.index)
     }
 
-    /// Index of the last entry, or of the snapshot where no entry follows it.
+    /// Returns the index of the last entry, or of the snapshot if no entry follows it.
     pub fn last_index(&self) -> LogIndex {
         self.entries.back().map_or(self.snapshot_index(), |entry| entry.index)
     }
 
-    /// Term of the last entry or snapshot.
+    /// Returns the term of the last entry or of the snapshot.
     pub fn last_term(&self) -> Term {
         self.term_at(self.last_index()).unwrap_or_default()
     }
 
-    /// Number of entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry follows the snapshot.
+    /// Returns whether no entry follows the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -141,15 +141,16 @@
         index.checked_sub(*self.snapshot_index() + 1).map(|position| position as usize)
     }
 
-    /// The entry at an index, if held.
+    /// Returns the entry at an index, if it is in the window.
     pub fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         self.entries.get(self.position(index)?)
     }
 
-    /// Term of the entry at an index; known for the snapshot's last index too, and 0 for index 0.
+    /// Returns the term of the entry at an index, also for the snapshot's last index; it is 0 for
+    /// index 0 of a log without a snapshot.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if *index == 0 {
-            // What stands before a snapshot is not known any more, the beginning included.
+            // Nothing before a snapshot is known, including index 0.
             return self.snapshot.is_none().then_some(Term(0));
         }
         match &self.snapshot {
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Entries from an index on, at most `most`.
-    pub fn entries_from(&self, index: LogIndex, most: usize) -> impl Iterator<Item = &LogEntry> {
+    /// Returns at most `limit` entries from an index on.
+    pub fn entries_from(&self, index: LogIndex, limit: usize) -> impl Iterator<Item = &LogEntry> {
         let start = self.position(index).unwrap_or(self.entries.len());
-        self.entries.iter().skip(start).take(most)
+        self.entries.iter().skip(start).take(limit)
     }
 
-    /// All entries, newest first.
+    /// Returns all entries, newest first.
     pub fn newest_first(&self) -> impl Iterator<Item = &LogEntry> {
         self.entries.iter().rev()
     }
@@ -208,7 +209,7 @@
         Self::default()
     }
 
-    /// Makes the storage claim to be durable, for tests that keep it across restarts.
+    /// Sets whether the storage reports to be durable, for tests that keep it across restarts.
     pub fn with_durable(mut self, durable: bool) -> Self {
         self.durable = durable;
         self
