--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,15 +1,15 @@
 //! Connections between daemons.
 //!
-//! Each daemon opens a websocket to a peer when it first has something to say
-//! to it, and messages flow one way on it. Both ends prove that they hold a
-//! cluster key, and each frame carries a number and a code that depends on the
-//! key, so that nothing can be slipped in, changed, repeated or left out within
-//! a connection. Across connections messages may be lost; who sends one that
-//! matters sends it again.
+//! Each daemon opens a websocket to a peer when it sends its first message to
+//! it; messages flow in one direction on a connection. Both ends prove that
+//! they hold a cluster key. Each frame carries a sequence number and a message
+//! authentication code, so that frames cannot be inserted, changed, repeated or
+//! omitted within a connection. Messages may be lost when a connection breaks;
+//! senders repeat messages that matter.
 //!
-//! Invariants: a message is handed on only if it came whole from the daemon
-//! that it names; queues are bounded in messages and bytes, and a full one drops what comes
-//! next.
+//! Invariants: a message is delivered only if it was received completely from
+//! the daemon that it is attributed to; queues are bounded in messages and
+//! bytes, and a full queue drops further messages.
 
 mod mesh;
 mod pack;
--- a/crates/peer/src/mesh.rs
+++ b/crates/peer/src/mesh.rs
@@ -1,4 +1,4 @@
-//! Opens and accepts the connections.
+//! Opens and accepts connections between daemons.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -20,16 +20,16 @@
 
 use crate::queue::{PeerQueue, QueuedMessages, new_queue};
 use crate::seal::{
-    ConnectionFacts, EncodedMessage, FrameOpener, FrameSealer, NONCE_BYTES, same_code,
+    EncodedMessage, FrameOpener, FrameSealer, HandshakeTranscript, NONCE_BYTES, same_code,
 };
 
-/// Longest time for a connection, a proof or a write, unless it is set.
+/// Default timeout of connecting, of a handshake step and of a write.
 const STEP_TIMEOUT: Duration = Duration::from_secs(3);
-/// Silence after which a connection is given up, unless it is set.
+/// Default time without any received frame after which a connection is closed.
 const PONG_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pings that fit into the longest silence.
+/// Number of pings sent within the silence timeout.
 const PINGS_PER_SILENCE: u32 = 4;
-/// Shortest and longest pause before a connection is tried again.
+/// Minimum and maximum delay before a connection is tried again.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 const DIAL_PURPOSE: &str = "hollowbarrow dial";
 const ACCEPT_PURPOSE: &str = "hollowbarrow accept";
@@ -41,12 +41,12 @@
 /// Why the mesh could not start.
 #[derive(Debug, Error)]
 pub enum StartMeshError {
-    /// The address cannot be listened on.
+    /// The listener cannot be used by the runtime.
     #[error("cannot listen on {address}")]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// The underlying error.
         source: std::io::Error,
     },
 }
@@ -57,19 +57,19 @@
     Socket(#[from] tokio_tungstenite::tungstenite::Error),
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
-    #[error("the other end took too long")]
+    #[error("the peer did not respond in time")]
     Timeout,
-    #[error("the other end speaks version {0}")]
+    #[error("the peer uses protocol version {0}")]
     Version(u32),
-    #[error("the other end holds none of the cluster keys")]
+    #[error("the peer holds none of the cluster keys")]
     Key,
-    #[error("the other end is not who was expected")]
+    #[error("the peer is unknown or expected another daemon")]
     Identity,
-    #[error("the other end broke the protocol")]
+    #[error("the peer violated the protocol")]
     Protocol,
 }
 
-/// Who a daemon is and whom it may talk to.
+/// Identity of a daemon, its peers and its timeouts.
 #[derive(Clone, Debug)]
 pub struct MeshConfig {
     id: DaemonId,
@@ -77,9 +77,9 @@
     keys: Vec<String>,
     addressed: bool,
     source: Option<IpAddr>,
-    connect: Duration,
-    step: Duration,
-    silence: Duration,
+    connect_timeout: Duration,
+    step_timeout: Duration,
+    silence_timeout: Duration,
 }
 
 impl MeshConfig {
@@ -91,39 +91,40 @@
             keys: keys.to_vec(),
             addressed: false,
             source: None,
-            connect: STEP_TIMEOUT,
-            step: STEP_TIMEOUT,
-            silence: PONG_TIMEOUT,
+            connect_timeout: STEP_TIMEOUT,
+            step_timeout: STEP_TIMEOUT,
+            silence_timeout: PONG_TIMEOUT,
         }
     }
 
-    /// Takes every daemon that holds a key for a peer, whose name is its address.
+    /// Accepts every daemon that holds a key as a peer and uses its id as its address.
     ///
-    /// Such a mesh needs no list of its peers: who is heard of can be written to.
+    /// This needs no list of peers: messages can be sent to every id that was received.
     pub fn with_addressed_peers(mut self) -> Self {
         self.addressed = true;
         self
     }
 
-    /// Sets the IP number from which connections are made.
+    /// Sets the local IP address of outgoing connections.
     pub fn with_source(mut self, ip: IpAddr) -> Self {
         self.source = Some(ip);
         self
     }
 
-    /// Sets the longest time for a connection to come up.
+    /// Sets the timeout for establishing a connection.
     ///
-    /// Shorter than the time after which the opening packet is sent again, since a machine that
-    /// is just starting answers the next attempt sooner.
-    pub fn with_connect_timeout(mut self, connect: Duration) -> Self {
-        self.connect = connect;
+    /// It should be shorter than the time after which the kernel retransmits the SYN packet, because
+    /// a machine that is just starting answers a new attempt sooner.
+    pub fn with_connect_timeout(mut self, timeout: Duration) -> Self {
+        self.connect_timeout = timeout;
         self
     }
 
-    /// Sets the longest time of one step, and the silence after which a connection is given up.
+    /// Sets the timeout of one handshake step or write, and the time without any received frame
+    /// after which a connection is closed.
     pub fn with_timeouts(mut self, step: Duration, silence: Duration) -> Self {
-        self.step = step;
-        self.silence = silence;
+        self.step_timeout = step;
+        self.silence_timeout = silence;
         self
     }
 
@@ -135,14 +136,14 @@
         }
     }
 
-    /// Adds a peer and where it listens.
+    /// Adds a peer and its address.
     pub fn with_peer(mut self, id: &DaemonId, address: SocketAddr) -> Self {
         self.peers.insert(id.clone(), address);
         self
     }
 }
 
-/// Sends messages to other daemons and takes theirs.
+/// Sends messages to other daemons and receives theirs.
 #[derive(Clone)]
 pub struct PeerMesh {
     config: Arc<MeshConfig>,
@@ -151,8 +152,8 @@
     traffic: Arc<MeshTraffic>,
 }
 
-/// Bytes of messages that went over the connections, without what TCP and websockets add, and
-/// messages that found no room.
+/// Counters of sent and received bytes, without the overhead of TCP and websockets, and of dropped
+/// messages.
 #[derive(Debug, Default)]
 pub struct MeshTraffic {
     sent: AtomicU64,
@@ -161,29 +162,29 @@
 }
 
 impl MeshTraffic {
-    /// Bytes sent to other daemons.
+    /// Returns the number of bytes sent to other daemons.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes received from other daemons.
+    /// Returns the number of bytes received from other daemons.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Messages that were dropped because too much waited for their daemon, or no connection to
-    /// it came up.
+    /// Returns the number of messages that were dropped because the queue of their daemon was full
+    /// or the connection to it failed or could not be established.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 }
 
 impl PeerMesh {
-    /// Starts accepting; each message that comes is given to the handler.
+    /// Starts accepting connections; each received message is passed to the handler.
     ///
     /// # Errors
     ///
-    /// Fails where the listener cannot be used by the runtime.
+    /// Fails if the listener cannot be used by the runtime.
     pub fn start(
         config: MeshConfig,
         listener: std::net::TcpListener,
@@ -204,42 +205,42 @@
         Ok(mesh)
     }
 
-    /// What went over the connections so far.
+    /// Returns the traffic counters of all connections.
     pub fn traffic(&self) -> &MeshTraffic {
         &self.traffic
     }
 
-    /// Sends a message if its queue has room; returns whether it had.
+    /// Queues a message; returns false if the queue is full or the peer has no address.
     pub fn send(&self, to: &DaemonId, message: &PeerMessage) -> bool {
         let message = EncodedMessage::new(message);
-        self.put(to, |queue| queue.push(message))
+        self.push(to, |queue| queue.push(message))
     }
 
-    /// Sends a message to several daemons and encodes it once; returns those whose queues had no
-    /// room for it.
+    /// Queues a message for several daemons and encodes it once; returns the daemons for which it
+    /// was dropped.
     pub fn send_to_all<'a>(&self, to: &'a [DaemonId], message: &PeerMessage) -> Vec<&'a DaemonId> {
         if to.is_empty() {
             return Vec::new();
         }
         let message = EncodedMessage::new(message);
-        to.iter().filter(|peer| !self.put(peer, |queue| queue.push(message.clone()))).collect()
+        to.iter().filter(|peer| !self.push(peer, |queue| queue.push(message.clone()))).collect()
     }
 
-    /// Sends a message in place of the one that was last sent in this way, if that still waits;
-    /// returns whether there was room.
+    /// Queues a message, replacing an earlier one from this function that is still queued; returns
+    /// false if the queue is full or the peer has no address.
     pub fn send_newest(&self, to: &DaemonId, message: &EncodedMessage) -> bool {
-        self.put(to, |queue| queue.push_newest(message.clone()))
+        self.push(to, |queue| queue.push_newest(message.clone()))
     }
 
-    fn put(&self, to: &DaemonId, push: impl FnOnce(&PeerQueue) -> bool) -> bool {
+    fn push(&self, to: &DaemonId, push: impl FnOnce(&PeerQueue) -> bool) -> bool {
         let Some(address) = self.config.address_of(to) else { return false };
         let mut queues = self.queues.lock().expect("no holder of the lock panics");
         let queue = queues.entry(to.clone()).or_insert_with(|| self.start_dialer(to, address));
-        let taken = push(queue);
-        if !taken {
+        let queued = push(queue);
+        if !queued {
             self.traffic.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        taken
+        queued
     }
 
     fn start_dialer(&self, to: &DaemonId, address: SocketAddr) -> PeerQueue {
@@ -256,7 +257,7 @@
     }
 }
 
-/// Keeps one outgoing connection alive.
+/// Maintains one outgoing connection.
 struct PeerDialer {
     config: Arc<MeshConfig>,
     to: DaemonId,
@@ -274,7 +275,7 @@
                 Ok((socket, sealer)) => {
                     log::info!("event=peer_connected peer={}", *self.to);
                     (pause, reported) = (BACKOFF.0, false);
-                    let end = self.pump(socket, sealer).await;
+                    let end = self.send_queued(socket, sealer).await;
                     log::info!("event=peer_disconnected peer={} reason={:?}", *self.to, end);
                 }
                 Err(error) if !reported => {
@@ -293,15 +294,16 @@
             let jitter = rand::rng().random_range(0.5..1.0);
             tokio::time::sleep(pause.mul_f64(jitter)).await;
             pause = (pause * 2).min(BACKOFF.1);
-            // What waited for a dead connection is stale; its senders send again.
+            // Messages queued for a failed connection are stale; their senders repeat what matters.
             let stale = self.queue.clear();
             self.traffic.dropped.fetch_add(stale, Ordering::Relaxed);
         }
     }
 
     async fn connect(&self) -> Result<(PeerSocket, FrameSealer), ConnectPeerError> {
-        let step = self.config.step;
-        let stream = within(self.config.connect, async { Ok(self.open_stream().await?) }).await?;
+        let step = self.config.step_timeout;
+        let stream =
+            within(self.config.connect_timeout, async { Ok(self.open_stream().await?) }).await?;
         stream.set_nodelay(true)?;
         let url = format!("ws://{}/peer", self.address);
         let (mut socket, _) = within(step, async { Ok(client_async(url, stream).await?) }).await?;
@@ -311,7 +313,7 @@
         }
         let key = self.config.keys.first().ok_or(ConnectPeerError::Key)?;
         let nonce = fresh_nonce();
-        let facts = ConnectionFacts {
+        let transcript = HandshakeTranscript {
             from: &self.config.id,
             to: &self.to,
             accept_nonce: &challenge.nonce,
@@ -321,14 +323,14 @@
             from: self.config.id.clone(),
             to: self.to.clone(),
             nonce: nonce.clone(),
-            mac: facts.code(key, DIAL_PURPOSE),
+            mac: transcript.code(key, DIAL_PURPOSE),
         };
         send(&mut socket, &proof, step).await?;
         let welcome: PeerWelcome = receive(&mut socket, step).await?;
-        if !same_code(&welcome.mac, &facts.code(key, ACCEPT_PURPOSE)) {
+        if !same_code(&welcome.mac, &transcript.code(key, ACCEPT_PURPOSE)) {
             return Err(ConnectPeerError::Key);
         }
-        Ok((socket, FrameSealer::new(facts.code(key, SESSION_PURPOSE))))
+        Ok((socket, FrameSealer::new(transcript.code(key, SESSION_PURPOSE))))
     }
 
     async fn open_stream(&self) -> std::io::Result<TcpStream> {
@@ -340,11 +342,11 @@
         socket.connect(self.address).await
     }
 
-    /// Sends what is queued until the connection fails; says why it ended.
-    async fn pump(&self, socket: PeerSocket, mut sealer: FrameSealer) -> &'static str {
+    /// Sends queued messages until the connection fails; returns the reason.
+    async fn send_queued(&self, socket: PeerSocket, mut sealer: FrameSealer) -> &'static str {
         let (mut writer, mut reader) = socket.split();
-        let mut ping = tokio::time::interval(self.config.silence / PINGS_PER_SILENCE);
-        let mut heard = tokio::time::Instant::now();
+        let mut ping = tokio::time::interval(self.config.silence_timeout / PINGS_PER_SILENCE);
+        let mut last_received = tokio::time::Instant::now();
         loop {
             let frame = tokio::select! {
                 message = self.queue.next() => match message {
@@ -356,20 +358,20 @@
                     None => return "stopping",
                 },
                 _ = ping.tick() => {
-                    if heard.elapsed() > self.config.silence {
+                    if last_received.elapsed() > self.config.silence_timeout {
                         return "silent";
                     }
                     Message::Ping(Vec::new().into())
                 }
                 incoming = reader.next() => match incoming {
                     Some(Ok(_)) => {
-                        heard = tokio::time::Instant::now();
+                        last_received = tokio::time::Instant::now();
                         continue;
                     }
                     _ => return "closed",
                 },
             };
-            match tokio::time::timeout(self.config.step, writer.send(frame)).await {
+            match tokio::time::timeout(self.config.step_timeout, writer.send(frame)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return "write failed",
                 Err(_) => return "write stalled",
@@ -408,7 +410,7 @@
     traffic: &MeshTraffic,
 ) -> Result<(), ConnectPeerError> {
     stream.set_nodelay(true)?;
-    let step = config.step;
+    let step = config.step_timeout;
     let mut socket = within(step, async { Ok(accept_async(stream).await?) }).await?;
     let accept_nonce = fresh_nonce();
     let challenge = PeerChallenge { version: PROTOCOL_VERSION, nonce: accept_nonce.clone() };
@@ -417,7 +419,7 @@
     if proof.to != config.id || config.address_of(&proof.from).is_none() {
         return Err(ConnectPeerError::Identity);
     }
-    let facts = ConnectionFacts {
+    let transcript = HandshakeTranscript {
         from: &proof.from,
         to: &proof.to,
         accept_nonce: &accept_nonce,
@@ -426,10 +428,10 @@
     let key = config
         .keys
         .iter()
-        .find(|key| same_code(&proof.mac, &facts.code(key, DIAL_PURPOSE)))
+        .find(|key| same_code(&proof.mac, &transcript.code(key, DIAL_PURPOSE)))
         .ok_or(ConnectPeerError::Key)?;
-    send(&mut socket, &PeerWelcome { mac: facts.code(key, ACCEPT_PURPOSE) }, step).await?;
-    let mut opener = FrameOpener::new(facts.code(key, SESSION_PURPOSE));
+    send(&mut socket, &PeerWelcome { mac: transcript.code(key, ACCEPT_PURPOSE) }, step).await?;
+    let mut opener = FrameOpener::new(transcript.code(key, SESSION_PURPOSE));
     while let Some(frame) = socket.next().await {
         if let Message::Binary(bytes) = frame? {
             traffic.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
--- a/crates/peer/src/pack.rs
+++ b/crates/peer/src/pack.rs
@@ -1,39 +1,39 @@
-//! The form in which messages go over connections: compressed where that makes them smaller.
+//! Wire encoding of message bodies: compressed if that makes them smaller.
 //!
-//! Tables, configurations and views repeat the same words; each crosses zones, and links of
-//! 20 Mbit/s, many times.
+//! Tables, configurations and views contain many repeated strings, and each is sent many times
+//! between zones, also over links of 20 Mbit/s.
 
 use std::borrow::Cow;
 
 use thiserror::Error;
 
-/// First byte of a body that stands as it is.
+/// First byte of an uncompressed body.
 const PLAIN: u8 = 0;
-/// First byte of a compressed body; its whole length follows in four bytes.
+/// First byte of a compressed body; its uncompressed length follows in four bytes.
 const PACKED: u8 = 1;
 const LENGTH_BYTES: usize = 4;
-/// Bodies below this gain less than compressing them costs.
-const LEAST_PACKED: usize = 1 << 10;
-/// Largest body that is taken: well beyond a table of 12,000 workers.
-const MOST_BYTES: usize = 64 << 20;
-/// The fastest level of the format.
+/// Minimum size of a body that is compressed; for smaller ones the gain is not worth the cost.
+const MIN_PACKED: usize = 1 << 10;
+/// Maximum uncompressed size that is accepted: well above a table of 12,000 workers.
+const MAX_BYTES: usize = 64 << 20;
+/// Compression level of zstd: the fastest one.
 const LEVEL: i32 = 1;
 
-/// A body that cannot be read.
+/// Why a body cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnpackBodyError {
-    /// It begins with neither form.
-    #[error("the body has no form that is known")]
+    /// The first byte is missing or names no known encoding.
+    #[error("the encoding of the body is unknown")]
     UnknownForm,
-    /// It says that it is larger than any message may be.
-    #[error("the body has {0} bytes")]
+    /// The stated uncompressed length exceeds the limit.
+    #[error("the body has {0} bytes, more than the limit")]
     TooLarge(usize),
-    /// What was compressed is damaged.
-    #[error("the body is damaged")]
+    /// The compressed data is damaged.
+    #[error("the compressed body is damaged")]
     Damaged,
 }
 
-/// Puts a body into the form in which it travels.
+/// Encodes a body for a connection.
 pub fn pack_body(body: &[u8]) -> Vec<u8> {
     pack_smaller(body).unwrap_or_else(|| {
         let mut plain = Vec::with_capacity(1 + body.len());
@@ -43,10 +43,10 @@
     })
 }
 
-/// The compressed form, if it is smaller.
+/// Returns the compressed encoding if it is smaller than the body.
 fn pack_smaller(body: &[u8]) -> Option<Vec<u8>> {
     let length = u32::try_from(body.len()).ok()?;
-    if body.len() < LEAST_PACKED {
+    if body.len() < MIN_PACKED {
         return None;
     }
     let packed = zstd::bulk::compress(body, LEVEL).ok()?;
@@ -60,11 +60,11 @@
     })
 }
 
-/// The body that was put into this form.
+/// Decodes a body encoded by [`pack_body`].
 ///
 /// # Errors
 ///
-/// Says what is wrong with the form.
+/// Returns why the body cannot be decoded.
 pub fn unpack_body(form: &[u8]) -> Result<Cow<'_, [u8]>, UnpackBodyError> {
     match form.split_first() {
         Some((&PLAIN, body)) => Ok(Cow::Borrowed(body)),
@@ -77,7 +77,7 @@
     let (length, packed) =
         rest.split_first_chunk::<LENGTH_BYTES>().ok_or(UnpackBodyError::Damaged)?;
     let length = u32::from_le_bytes(*length) as usize;
-    if length > MOST_BYTES {
+    if length > MAX_BYTES {
         return Err(UnpackBodyError::TooLarge(length));
     }
     let body = zstd::bulk::decompress(packed, length).map_err(|_| UnpackBodyError::Damaged)?;
--- a/crates/peer/src/queue.rs
+++ b/crates/peer/src/queue.rs
@@ -1,10 +1,10 @@
-//! What waits to go to one peer, bounded in messages and in bytes.
+//! Queue of messages to one peer, bounded in messages and in bytes.
 //!
-//! A configuration does not compete with what else waits: the newest one has a place of its own,
-//! and takes the place of one that still waits there.
+//! Configurations do not compete with other messages: the newest one has a slot of its own, and
+//! replaces an older one that is still in that slot.
 //!
-//! Invariant: an empty queue takes a message of any size, so that what is larger than the bound
-//! still gets through.
+//! Invariant: an empty queue accepts a message of any size, so that a message larger than the limit
+//! can still be sent.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -13,19 +13,20 @@
 
 use crate::seal::EncodedMessage;
 
-/// Messages that may wait for one peer.
+/// Maximum number of messages queued for one peer.
 const QUEUE_MESSAGES: usize = 2048;
-/// Bytes that may wait for one peer: what it cannot take in a few seconds is stale by then.
+/// Maximum number of bytes queued for one peer: messages that the connection cannot carry within a
+/// few seconds are stale by then.
 const QUEUE_BYTES: usize = 512 << 10;
 
 #[derive(Clone, Debug)]
 enum QueuedItem {
     Message(EncodedMessage),
-    /// What is in the place of the newest one.
+    /// The message that is in the `newest` slot when this item is queued.
     Newest,
 }
 
-/// What both ends of a queue share.
+/// State shared by both ends of a queue.
 #[derive(Debug, Default)]
 struct QueueState {
     bytes: AtomicUsize,
@@ -38,14 +39,14 @@
     }
 }
 
-/// The end of a queue that messages are put into.
+/// Sending end of a queue.
 #[derive(Clone, Debug)]
 pub struct PeerQueue {
     sender: Sender<QueuedItem>,
     state: Arc<QueueState>,
 }
 
-/// The end of a queue that messages are taken from.
+/// Receiving end of a queue.
 #[derive(Debug)]
 pub struct QueuedMessages {
     receiver: Receiver<QueuedItem>,
@@ -60,35 +61,35 @@
 }
 
 impl PeerQueue {
-    /// Puts a message in if there is room; returns whether there was.
+    /// Adds a message; returns false if the queue is full.
     pub fn push(&self, message: EncodedMessage) -> bool {
         let size = message.size();
-        let waiting = self.state.bytes.fetch_add(size, Ordering::Relaxed);
-        let fits = waiting == 0 || waiting + size <= QUEUE_BYTES;
-        let taken = fits && self.sender.try_send(QueuedItem::Message(message)).is_ok();
-        if !taken {
+        let queued_bytes = self.state.bytes.fetch_add(size, Ordering::Relaxed);
+        let fits = queued_bytes == 0 || queued_bytes + size <= QUEUE_BYTES;
+        let queued = fits && self.sender.try_send(QueuedItem::Message(message)).is_ok();
+        if !queued {
             self.state.bytes.fetch_sub(size, Ordering::Relaxed);
         }
-        taken
+        queued
     }
 
-    /// Puts a message in that makes each earlier one put in this way needless, whatever its size;
-    /// returns whether there was room.
+    /// Adds a message of any size that replaces an earlier one from this function that is still
+    /// queued; returns false if the queue is full.
     pub fn push_newest(&self, message: EncodedMessage) -> bool {
         let mut newest = self.state.newest();
         if newest.replace(message).is_some() {
             return true;
         }
-        let taken = self.sender.try_send(QueuedItem::Newest).is_ok();
-        if !taken {
+        let queued = self.sender.try_send(QueuedItem::Newest).is_ok();
+        if !queued {
             *newest = None;
         }
-        taken
+        queued
     }
 }
 
 impl QueuedMessages {
-    /// Waits for the next message; none once every sender is gone.
+    /// Waits for the next message; returns none after all senders have been dropped.
     pub async fn next(&self) -> Option<EncodedMessage> {
         loop {
             let item = self.receiver.recv_async().await.ok()?;
@@ -108,13 +109,13 @@
         }
     }
 
-    /// Drops what waits; returns how many messages that were.
+    /// Drops all queued messages; returns their number.
     pub fn clear(&self) -> u64 {
         let items: Vec<QueuedItem> = self.receiver.drain().collect();
         items.into_iter().filter_map(|item| self.take(item)).count() as u64
     }
 
-    /// Whether every sender is gone.
+    /// Returns whether all senders have been dropped.
     pub fn is_closed(&self) -> bool {
         self.receiver.is_disconnected()
     }
--- a/crates/peer/src/seal.rs
+++ b/crates/peer/src/seal.rs
@@ -1,4 +1,4 @@
-//! Proofs and frame codes made with the cluster key.
+//! Handshake proofs and frame authentication codes, derived from the cluster key.
 
 use bytes::Bytes;
 use hmac::{Hmac, KeyInit, Mac};
@@ -9,47 +9,47 @@
 
 use crate::pack::{UnpackBodyError, pack_body, unpack_body};
 
-/// Bytes of the code that each frame carries.
+/// Length of a frame's authentication code in bytes.
 const CODE_BYTES: usize = 16;
 const NUMBER_BYTES: usize = 8;
-/// Bytes of a nonce.
+/// Length of a nonce in bytes.
 pub(crate) const NONCE_BYTES: usize = 16;
 
-/// A frame that is not what the other end sealed.
+/// Why a frame is not the next one that the peer sealed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OpenFrameError {
     /// The frame is too short.
     #[error("the frame has {0} bytes")]
     TooShort(usize),
-    /// A frame was lost, repeated or put in another order.
-    #[error("frame {found} came where {expected} was expected")]
+    /// A frame was lost, repeated or reordered.
+    #[error("received frame {found} where frame {expected} was expected")]
     WrongNumber {
-        /// Number that was expected.
+        /// Expected sequence number.
         expected: u64,
-        /// Number that came.
+        /// Received sequence number.
         found: u64,
     },
-    /// The frame was changed or sealed with another key.
-    #[error("the frame's code is wrong")]
+    /// The frame was modified or sealed with another key.
+    #[error("the frame's authentication code is wrong")]
     WrongCode,
-    /// The frame's body cannot be read.
+    /// The frame's body cannot be unpacked.
     #[error("{0}")]
     Unpack(#[from] UnpackBodyError),
-    /// The frame holds no message of this version.
-    #[error("the frame holds no message")]
+    /// The frame's body cannot be decoded as a message of this version.
+    #[error("the frame holds no valid message")]
     NoMessage,
 }
 
-/// What both ends of a connection know once they have exchanged nonces.
-pub(crate) struct ConnectionFacts<'a> {
+/// Data of a handshake that both ends have after the exchange of nonces.
+pub(crate) struct HandshakeTranscript<'a> {
     pub(crate) from: &'a DaemonId,
     pub(crate) to: &'a DaemonId,
     pub(crate) accept_nonce: &'a [u8],
     pub(crate) dial_nonce: &'a [u8],
 }
 
-impl ConnectionFacts<'_> {
-    /// Code over all facts, for one purpose.
+impl HandshakeTranscript<'_> {
+    /// Computes an authentication code over the handshake data, for one purpose.
     pub(crate) fn code(&self, key: &str, purpose: &str) -> Vec<u8> {
         let mut mac = new_mac(key.as_bytes());
         for part in [
@@ -82,7 +82,7 @@
     mac.finalize().into_bytes()[..CODE_BYTES].to_vec()
 }
 
-/// A message in the form in which it goes over connections, made once for all that it goes to.
+/// A message in its wire encoding, encoded once for all receivers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedMessage(Bytes);
 
@@ -94,7 +94,7 @@
         Self(pack_body(&bytes).into())
     }
 
-    /// Bytes of the message, without what a connection adds.
+    /// Returns the size of the message in bytes, without the frame's header.
     pub fn size(&self) -> usize {
         self.0.len()
     }
@@ -108,7 +108,7 @@
 }
 
 impl FrameSealer {
-    /// Creates a sealer with a connection's own key.
+    /// Creates a sealer with the session key of a connection.
     pub fn new(key: Vec<u8>) -> Self {
         Self { key, next: 0 }
     }
@@ -118,7 +118,7 @@
         self.seal_encoded(&EncodedMessage::new(message))
     }
 
-    /// Makes an encoded message the next frame.
+    /// Seals an encoded message as the next frame.
     pub fn seal_encoded(&mut self, message: &EncodedMessage) -> Vec<u8> {
         let body = &message.0;
         let mut frame = Vec::with_capacity(NUMBER_BYTES + CODE_BYTES + body.len());
@@ -138,7 +138,7 @@
 }
 
 impl FrameOpener {
-    /// Creates an opener with a connection's own key.
+    /// Creates an opener with the session key of a connection.
     pub fn new(key: Vec<u8>) -> Self {
         Self { key, next: 0 }
     }
@@ -147,8 +147,8 @@
     ///
     /// # Errors
     ///
-    /// Fails where the frame is not the next one that the other end sealed;
-    /// the connection is then of no further use.
+    /// Fails if the frame is not the next one that the peer sealed; the connection
+    /// must then be closed.
     pub fn open(&mut self, frame: &[u8]) -> Result<PeerMessage, OpenFrameError> {
         let head = NUMBER_BYTES + CODE_BYTES;
         if frame.len() < head {
--- a/crates/peer/tests/mesh.rs
+++ b/crates/peer/tests/mesh.rs
@@ -19,25 +19,28 @@
     }
 }
 
-/// Whether a message gets from a daemon with some keys to one with others.
+/// Returns whether a message is delivered between two daemons with the given keys.
 async fn reaches(dial_keys: &[&str], accept_keys: &[&str], known: bool) -> bool {
     let keys = |keys: &[&str]| keys.iter().map(|key| (*key).to_owned()).collect::<Vec<_>>();
     let (one, two) = (DaemonId::from("one"), DaemonId::from("two"));
     let listeners: Vec<TcpListener> =
         (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port is free")).collect();
-    let address = |n: usize| listeners[n].local_addr().expect("bound");
+    let address = |n: usize| listeners[n].local_addr().expect("a bound listener has an address");
     let (one_at, two_at) = (address(0), address(1));
     let mut listeners = listeners.into_iter();
     let dial = MeshConfig::new(&one, &keys(dial_keys)).with_peer(&two, two_at);
     let accept = MeshConfig::new(&two, &keys(accept_keys));
     let accept = if known { accept.with_peer(&one, one_at) } else { accept };
     let (sender, receiver) = mpsc::channel();
-    let dialer = PeerMesh::start(dial, listeners.next().expect("two"), |_, _| {});
-    let _acceptor =
-        PeerMesh::start(accept, listeners.next().expect("two"), move |from, message| {
+    let dialer = PeerMesh::start(dial, listeners.next().expect("two listeners exist"), |_, _| {});
+    let _acceptor = PeerMesh::start(
+        accept,
+        listeners.next().expect("two listeners exist"),
+        move |from, message| {
             let _ = sender.send((from.clone(), id_of(&message)));
-        });
-    let dialer = dialer.expect("it starts");
+        },
+    );
+    let dialer = dialer.expect("the mesh starts");
     for _ in 0..60 {
         dialer.send(&two, &message(7));
         tokio::time::sleep(Duration::from_millis(25)).await;
@@ -76,14 +79,18 @@
 }
 
 #[rstest]
-fn open_harmed_frames() {
+fn open_modified_frames() {
     let mut sealer = FrameSealer::new(vec![1; 32]);
     let frames: Vec<Vec<u8>> = (0..3).map(|id| sealer.seal(&message(id))).collect();
     let mut opener = FrameOpener::new(vec![1; 32]);
     for position in 0..frames[0].len() {
-        let mut harmed = frames[0].clone();
-        harmed[position] ^= 1;
-        assert_eq!(opener.open(&harmed).err(), Some(OpenFrameError::WrongCode), "byte {position}");
+        let mut modified = frames[0].clone();
+        modified[position] ^= 1;
+        assert_eq!(
+            opener.open(&modified).err(),
+            Some(OpenFrameError::WrongCode),
+            "byte {position}"
+        );
     }
     assert!(opener.open(&frames[0]).is_ok());
     let repeated = opener.open(&frames[0]);
--- a/crates/peer/tests/pack.rs
+++ b/crates/peer/tests/pack.rs
@@ -1,4 +1,4 @@
-//! The form of messages on connections.
+//! Wire encoding of message bodies.
 
 use std::borrow::Cow;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Text of routes with names of their own, as configurations have them.
+/// Text of routes with distinct names, like those of a configuration.
 fn routes(count: u32) -> Vec<u8> {
     let route = |number: u32| {
         let name = number.wrapping_mul(2_654_435_761);
@@ -17,13 +17,19 @@
     (0..count).map(route).collect::<String>().into_bytes()
 }
 
-/// Configurations of 7,000 routes went whole to each gateway: 1,700 found no room in one
-/// controller's queues in 30 s, and a gateway lacked an acknowledged change for 4 s.
+/// A configuration of 7,000 routes must shrink to less than a fifth. When configurations were sent
+/// uncompressed to each gateway, the queues of one controller dropped 1,700 of them in 30 s, and a
+/// gateway lacked an acknowledged change for 4 s.
 #[rstest]
 fn pack_body_of_routes() {
     let body = routes(7000);
     let form = pack_body(&body);
-    assert!(form.len() * 5 < body.len(), "{} of {} bytes are left", form.len(), body.len());
+    assert!(
+        form.len() * 5 < body.len(),
+        "{} of {} bytes after compression",
+        form.len(),
+        body.len()
+    );
     assert_eq!(unpack_body(&form), Ok(Cow::Borrowed(&body[..])));
 }
 
@@ -37,7 +43,7 @@
     assert_eq!(unpack_body(form), Err(expected));
 }
 
-/// A length that is not that of the content is not believed, whichever way it is wrong.
+/// A stated length that differs from that of the content is rejected.
 #[rstest]
 #[case::shorter(-1)]
 #[case::longer(1)]
@@ -51,13 +57,13 @@
 
 proptest! {
     #[test]
-    fn unpack_body_gives_what_was_packed(body in proptest::collection::vec(any::<u8>(), 0..5000)) {
+    fn unpack_body_round_trip(body in proptest::collection::vec(any::<u8>(), 0..5000)) {
         let form = pack_body(&body);
         prop_assert_eq!(unpack_body(&form), Ok(Cow::Owned(body)));
     }
 
     #[test]
-    fn unpack_body_takes_any_bytes(form in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn unpack_body_of_any_bytes(form in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = unpack_body(&form);
     }
 }
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -1,12 +1,14 @@
-//! Which not repeatable requests were given the right to run.
+//! Claims: the right of not repeatable requests to run.
 //!
-//! A daemon opens a claim before the first byte of such a request leaves. Only
-//! the first claim of a key is ever granted, so that a resent request, through
-//! whichever daemon, finds the first one's answer or that it may have run.
+//! A daemon opens a claim before it sends the first byte of a not repeatable
+//! request. Only the first claim of a key is granted. A request that is sent
+//! again, through any daemon, therefore gets the answer of the first one, or
+//! the information that the first one is in progress or may have run.
 //!
-//! Invariants: a key is granted to one attempt only, until it is released by
-//! that attempt (no byte left) or forgotten after the retention time; an open
-//! claim whose lifetime has passed reads as unknown and is never granted again.
+//! Invariants: a key is granted to one attempt only, until that attempt
+//! releases it (no byte was sent) or it is removed after the retention time; an
+//! open claim whose lifetime has passed becomes unknown and is never granted
+//! again.
 
 use std::collections::BTreeMap;
 
@@ -30,11 +32,11 @@
     fingerprint: u64,
     attempt: String,
     phase: ClaimPhase,
-    /// When it was opened, by the log's clock; none until the clock has next moved.
+    /// Time at which the claim was opened, by the log's clock; none until the next sweep.
     opened_ms: Option<u64>,
 }
 
-/// State machine of the claims' log.
+/// State machine of the log of claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimState {
     records: BTreeMap<ClaimKey, ClaimRecord>,
@@ -47,22 +49,22 @@
         Self::default()
     }
 
-    /// Number of keys remembered.
+    /// Returns the number of keys with a claim.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether no key has a claim.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The clock that the log carries, in milliseconds.
+    /// Returns the time of the log's clock in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Applies one command and returns what came of it.
+    /// Applies one command and returns its outcome.
     pub fn apply_command(&mut self, command: &ClaimCommand) -> ClaimOutcome {
         match command {
             ClaimCommand::Open(open) => self.open(open),
@@ -96,7 +98,7 @@
     }
 
     fn close(&mut self, close: &ClaimClose) -> ClaimOutcome {
-        let Some(record) = self.held(&close.key, &close.attempt) else {
+        let Some(record) = self.record_of_attempt(&close.key, &close.attempt) else {
             return ClaimOutcome::NotHeld;
         };
         let settled = matches!(record.phase, ClaimPhase::Ran | ClaimPhase::Answered(_));
@@ -111,7 +113,7 @@
     }
 
     fn release(&mut self, release: &ClaimRelease) -> ClaimOutcome {
-        match self.held(&release.key, &release.attempt) {
+        match self.record_of_attempt(&release.key, &release.attempt) {
             Some(record)
                 if matches!(record.phase, ClaimPhase::Open { .. } | ClaimPhase::Unknown) =>
             {
@@ -122,17 +124,17 @@
         }
     }
 
-    fn held(&mut self, key: &ClaimKey, attempt: &str) -> Option<&mut ClaimRecord> {
+    fn record_of_attempt(&mut self, key: &ClaimKey, attempt: &str) -> Option<&mut ClaimRecord> {
         self.records.get_mut(key).filter(|record| record.attempt == attempt)
     }
 
     fn sweep(&mut self, sweep: &ClaimSweep) -> ClaimOutcome {
-        // A new leader's clock may be behind; the log's clock never goes back.
+        // A new leader's clock may be behind; the log's clock never runs backwards.
         self.now_ms = self.now_ms.max(sweep.now_ms);
         let now = self.now_ms;
         for record in self.records.values_mut() {
-            // What was opened since the last sweep is dated now: the clock may have stood still
-            // since then, and a claim must not be forgotten early.
+            // Claims opened since the last sweep are dated to this one: the log's clock does not
+            // advance between sweeps, and a claim must not be removed early.
             let opened = *record.opened_ms.get_or_insert(now);
             if matches!(record.phase, ClaimPhase::Open { lifetime_ms }
                 if opened.saturating_add(lifetime_ms) <= now)
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,11 +1,12 @@
 //! The accepted configuration.
 //!
-//! Each object carries the log index of its last change as its revision. A
-//! change made against another revision than the present one loses, and is
-//! told who won. The outcome of each change is remembered under the change's
-//! own identity, so that a resent change gets the first one's answer.
+//! The revision of an object is the log index of its last change. A change that
+//! is based on another revision than the current one is rejected as a conflict,
+//! with the current value and its author. The outcome of each change is stored
+//! under the change's id, so that a change that is sent again gets the same
+//! outcome.
 //!
-//! Invariant: revisions of an object only grow, and the outcome stored for a
+//! Invariant: revisions of an object only increase, and the stored outcome of a
 //! change never changes.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -19,22 +20,22 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// How many changes' outcomes are remembered: seven hours of them at the target size. A change is
-/// sent again within minutes or not at all.
+/// Number of changes whose outcomes are stored: the changes of seven hours at the target size. A
+/// change is sent again within minutes or not at all.
 const REMEMBERED_CHANGES: usize = 16_384;
 
-/// An object with its revision and who last changed it.
+/// An object with its revision and the author of its last change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Recorded<T> {
     /// The object.
     pub value: T,
-    /// Log index of its last change.
+    /// Log index of the last change.
     pub revision: Revision,
-    /// Who made the last change.
+    /// Author of the last change.
     pub author: String,
 }
 
-/// What became of a change, in little room for the common case.
+/// Stored outcome of a change, small in the common case.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum RememberedOutcome {
     Accepted(Revision),
@@ -57,7 +58,7 @@
     }
 }
 
-/// State machine of the configuration's log.
+/// State machine of the configuration log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigState {
     groups: BTreeMap<GroupName, Recorded<GroupSpec>>,
@@ -75,43 +76,43 @@
         Self::default()
     }
 
-    /// Groups by name.
+    /// Returns the groups by name.
     pub fn groups(&self) -> &BTreeMap<GroupName, Recorded<GroupSpec>> {
         &self.groups
     }
 
-    /// Labels that operators have set, by node.
+    /// Returns the labels set by operators, by node.
     pub fn labels(&self) -> &BTreeMap<NodeId, Recorded<Labels>> {
         &self.labels
     }
 
-    /// Outside endpoints by name.
+    /// Returns the external endpoints by name.
     pub fn endpoints(&self) -> &BTreeMap<String, Recorded<EndpointSpec>> {
         &self.endpoints
     }
 
-    /// Replicas that each availability zone is to run, by group.
+    /// Returns the numbers of replicas that each availability zone must run, by group.
     pub fn quotas(&self) -> &BTreeMap<GroupName, Recorded<Quota>> {
         &self.quotas
     }
 
-    /// Index of the last applied entry.
+    /// Returns the index of the last applied entry.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Number of changes whose outcome is remembered.
+    /// Returns the number of changes whose outcome is stored.
     pub fn remembered(&self) -> usize {
         self.order.len()
     }
 
-    /// Applies one change at a log index and returns what came of it.
+    /// Applies one change at a log index and returns its outcome.
     pub fn apply_change(&mut self, index: LogIndex, change: &ConfigChange) -> ChangeOutcome {
         if let Some(outcome) = self.outcomes.get(&change.id) {
             return outcome.to_outcome();
         }
         let outcome = self.decide(index, change);
-        self.remember(&change.id, &outcome);
+        self.store_outcome(&change.id, &outcome);
         outcome
     }
 
@@ -121,60 +122,63 @@
             return ChangeOutcome::Invalid(faults);
         }
         let object = change.command.object();
-        let present = self.revision_of(&change.command);
-        if change.base.is_some_and(|base| base != present) {
-            let winner = self.present_command(&change.command);
+        let current = self.revision_of(&change.command);
+        if change.base.is_some_and(|base| base != current) {
+            let winner = self.current_command(&change.command);
             return ChangeOutcome::Conflict(ChangeConflict {
                 object,
                 wanted: change.base.unwrap_or_default(),
-                found: present,
+                found: current,
                 theirs: winner.as_ref().map(|winner| winner.value.clone()),
                 author: winner.map(|winner| winner.author).unwrap_or_default(),
             });
         }
         let revision = Revision(*index);
-        self.perform(&change.command, revision, &change.author);
+        self.execute(&change.command, revision, &change.author);
         ChangeOutcome::Accepted(revision)
     }
 
-    /// The command that would make the object what it is now, with who made it so; none where it
-    /// does not exist.
-    fn present_command(&self, command: &ConfigCommand) -> Option<Recorded<ConfigCommand>> {
-        fn remade<T: Clone>(
+    /// Returns the command that would create the object in its current state, with its revision and
+    /// author; none if the object does not exist.
+    fn current_command(&self, command: &ConfigCommand) -> Option<Recorded<ConfigCommand>> {
+        fn to_command<T: Clone>(
             recorded: Option<&Recorded<T>>,
-            remake: impl Fn(T) -> ConfigCommand,
+            create: impl Fn(T) -> ConfigCommand,
         ) -> Option<Recorded<ConfigCommand>> {
             recorded.map(|recorded| Recorded {
-                value: remake(recorded.value.clone()),
+                value: create(recorded.value.clone()),
                 revision: recorded.revision,
                 author: recorded.author.clone(),
             })
         }
         match command {
             ConfigCommand::PutGroup(GroupSpec { name, .. }) | ConfigCommand::DeleteGroup(name) => {
-                remade(self.groups.get(name), ConfigCommand::PutGroup)
+                to_command(self.groups.get(name), ConfigCommand::PutGroup)
+            }
+            ConfigCommand::ChangeLabels(change) => {
+                to_command(self.labels.get(&change.node), |set| {
+                    let node = change.node.clone();
+                    ConfigCommand::ChangeLabels(LabelChange { node, set, remove: Vec::new() })
+                })
             }
-            ConfigCommand::ChangeLabels(change) => remade(self.labels.get(&change.node), |set| {
-                let node = change.node.clone();
-                ConfigCommand::ChangeLabels(LabelChange { node, set, remove: Vec::new() })
-            }),
             ConfigCommand::PutEndpoint(EndpointSpec { name, .. })
             | ConfigCommand::DeleteEndpoint(name) => {
-                remade(self.endpoints.get(name), ConfigCommand::PutEndpoint)
+                to_command(self.endpoints.get(name), ConfigCommand::PutEndpoint)
             }
             ConfigCommand::SetQuota(quota) => {
-                remade(self.quotas.get(&quota.group), ConfigCommand::SetQuota)
+                to_command(self.quotas.get(&quota.group), ConfigCommand::SetQuota)
             }
         }
     }
 
-    /// Performs a command on a copy of the state, to see what would follow from it.
+    /// Applies a command without checks and without storing its outcome, for a dry run on a copy of
+    /// the state.
     pub fn try_command(&mut self, command: &ConfigCommand) {
         let revision = Revision(*self.applied + 1);
-        self.perform(command, revision, "dry run");
+        self.execute(command, revision, "dry run");
     }
 
-    /// Present revision of the object that a command changes, 0 where it does not exist.
+    /// Returns the current revision of the object that a command changes, 0 if it does not exist.
     pub fn revision_of(&self, command: &ConfigCommand) -> Revision {
         let revision = match command {
             ConfigCommand::PutGroup(spec) => self.groups.get(&spec.name).map(|r| r.revision),
@@ -189,7 +193,7 @@
         revision.unwrap_or_default()
     }
 
-    fn perform(&mut self, command: &ConfigCommand, revision: Revision, author: &str) {
+    fn execute(&mut self, command: &ConfigCommand, revision: Revision, author: &str) {
         fn record<T: Clone>(value: &T, revision: Revision, author: &str) -> Recorded<T> {
             Recorded { value: value.clone(), revision, author: author.to_owned() }
         }
@@ -218,7 +222,7 @@
                 self.endpoints.remove(name);
             }
             ConfigCommand::SetQuota(quota) => {
-                // A quota for a group that was deleted meanwhile would outlive it.
+                // A quota for a group that has been deleted would never be removed.
                 if self.groups.contains_key(&quota.group) {
                     self.quotas.insert(quota.group.clone(), record(quota, revision, author));
                 }
@@ -226,7 +230,7 @@
         }
     }
 
-    fn remember(&mut self, id: &ChangeId, outcome: &ChangeOutcome) {
+    fn store_outcome(&mut self, id: &ChangeId, outcome: &ChangeOutcome) {
         self.outcomes.insert(id.clone(), RememberedOutcome::new(outcome));
         self.order.push_back(id.clone());
         if self.order.len() > REMEMBERED_CHANGES
@@ -237,7 +241,7 @@
     }
 }
 
-/// What is wrong with a command regardless of the present state.
+/// Returns the faults of a command that do not depend on the current state.
 pub(crate) fn command_faults(command: &ConfigCommand) -> Vec<FieldFault> {
     match command {
         ConfigCommand::PutGroup(spec) => check_group(spec),
--- a/crates/state/src/deployment.rs
+++ b/crates/state/src/deployment.rs
@@ -1,11 +1,10 @@
-//! Whole configurations under a version that only grows.
+//! Full configurations with a version that only increases.
 //!
-//! The document is kept as the operator sent it, so that it can be read back
-//! unchanged. What it means is not known here: it is checked before it is
-//! proposed.
+//! The document is stored as the operator sent it, so that it can be read back
+//! unchanged. It is not interpreted here: it is checked before it is proposed.
 //!
-//! Invariant: the version held never goes down, and the text held under a
-//! version never changes.
+//! Invariant: the stored version never decreases, and the text of a version
+//! never changes.
 
 use hollowbarrow_log::StateMachine;
 use hollowbarrow_schema::{DeploymentDocument, EntryPayload, LogEntry, ProposalOutcome};
@@ -13,7 +12,7 @@
 
 use crate::{restore_cbor, to_cbor};
 
-/// State machine of the log of whole configurations.
+/// State machine of the log of full configurations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeploymentState {
     newest: Option<DeploymentDocument>,
@@ -25,12 +24,12 @@
         Self::default()
     }
 
-    /// The configuration with the highest version, if there is one.
+    /// Returns the configuration with the highest version, if any.
     pub fn newest(&self) -> Option<&DeploymentDocument> {
         self.newest.as_ref()
     }
 
-    /// Version held; 0 means none.
+    /// Returns the stored version, 0 if there is no configuration.
     pub fn version(&self) -> u64 {
         self.newest.as_ref().map_or(0, |document| document.version)
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,9 +1,10 @@
-//! The state that daemons agree on, as state machines over the replicated log.
+//! Replicated state of the daemons, as state machines over the replicated log.
 //!
-//! [`ConfigState`] is the accepted configuration; [`ClaimState`] remembers which
-//! not repeatable requests were given the right to run; [`DeploymentState`] holds
-//! whole configurations under a growing version. All are deterministic:
-//! they see only log entries, never a clock or a random number.
+//! [`ConfigState`] is the accepted configuration; [`ClaimState`] records which
+//! not repeatable requests were granted the right to run; [`DeploymentState`]
+//! holds the full configuration with the highest version. All are
+//! deterministic: they depend only on log entries, never on a clock or a random
+//! number.
 
 mod claims;
 mod config;
@@ -13,7 +14,7 @@
 pub use config::{ConfigState, Recorded};
 pub use deployment::DeploymentState;
 
-/// Replaces a state machine by what a snapshot holds; false where it cannot be read.
+/// Replaces a state machine by a decoded snapshot; returns false if it cannot be decoded.
 fn restore_cbor<T: serde::de::DeserializeOwned>(state: &mut T, snapshot: &[u8]) -> bool {
     let read = ciborium::from_reader(snapshot);
     read.map(|restored| *state = restored).is_ok()
--- a/crates/state/tests/machines.rs
+++ b/crates/state/tests/machines.rs
@@ -1,4 +1,4 @@
-//! Configuration and claims against naive models.
+//! Configuration and claims against reference implementations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,9 +33,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1500, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Against a map of revisions and a map of outcomes; snapshots taken anywhere change nothing.
+    /// Compares with a map of revisions and a map of outcomes; restoring a snapshot at any point
+    /// changes nothing.
     #[test]
-    fn apply_changes_naive(
+    fn apply_changes_like_reference(
         steps in prop::collection::vec((0u8..3, 0u32..30, prop::option::of(0u64..12), any::<bool>(), 0u8..10), 1..60)
     ) {
         let mut state = ConfigState::new();
@@ -49,15 +50,16 @@
             };
             let outcome = state.apply_change(LogIndex(index), &change(id, base, command));
             if let Some(first) = outcomes.get(&id) {
-                prop_assert_eq!(&outcome, first, "a resent change got another answer");
+                prop_assert_eq!(&outcome, first, "a repeated change got another outcome");
             } else {
-                let present = revisions.get(&name).copied().unwrap_or(0);
-                if base.is_none_or(|base| base == present) {
+                let current = revisions.get(&name).copied().unwrap_or(0);
+                if base.is_none_or(|base| base == current) {
                     prop_assert_eq!(&outcome, &ChangeOutcome::Accepted(Revision(index)));
                     if delete { revisions.remove(&name); } else { revisions.insert(name, index); }
                 } else {
-                    let lost = matches!(&outcome, ChangeOutcome::Conflict(c) if *c.found == present);
-                    prop_assert!(lost, "{:?}", outcome);
+                    let conflict =
+                        matches!(&outcome, ChangeOutcome::Conflict(c) if *c.found == current);
+                    prop_assert!(conflict, "{:?}", outcome);
                 }
                 outcomes.insert(id, outcome);
             }
@@ -72,8 +74,8 @@
         prop_assert_eq!(state.endpoints().keys().cloned().collect::<BTreeSet<_>>(), names);
     }
 
-    /// However attempts interleave, resend, end and expire, a key is granted to one attempt only
-    /// until that attempt says that no byte left.
+    /// For any interleaving of opened, repeated, closed and expired claims, a key is granted to one
+    /// attempt only, until that attempt releases it.
     #[test]
     fn claim_once(
         steps in prop::collection::vec((0u8..3, 0u8..4, 0u8..5, 0u64..4000), 1..120)
@@ -81,43 +83,43 @@
         let mut state = ClaimState::new();
         let mut now = 1_000_000;
         let mut holder: BTreeMap<u8, u8> = BTreeMap::new();
-        let mut ended: BTreeSet<u8> = BTreeSet::new();
-        for (key, attempt, kind, pass) in steps {
+        let mut closed_keys: BTreeSet<u8> = BTreeSet::new();
+        for (key, attempt, kind, elapsed_ms) in steps {
             let name = ClaimKey(key.to_string());
-            let who = attempt.to_string();
+            let attempt_id = attempt.to_string();
             match kind {
                 0 | 1 => {
-                    let open = ClaimOpen { key: name, fingerprint: 1, attempt: who, lifetime_ms: 2000 };
+                    let open = ClaimOpen { key: name, fingerprint: 1, attempt: attempt_id, lifetime_ms: 2000 };
                     let granted = state.apply_command(&ClaimCommand::Open(open)) == ClaimOutcome::Granted;
                     match holder.get(&key) {
                         None => {
                             prop_assert!(granted, "a free key was not granted");
                             holder.insert(key, attempt);
                         }
-                        Some(held) if granted => {
-                            prop_assert_eq!(*held, attempt, "a held key was granted to another");
-                            prop_assert!(!ended.contains(&key), "an ended claim was granted again");
+                        Some(owner) if granted => {
+                            prop_assert_eq!(*owner, attempt, "a claimed key was granted to another attempt");
+                            prop_assert!(!closed_keys.contains(&key), "a closed claim was granted again");
                         }
                         Some(_) => {}
                     }
                 }
                 2 => {
-                    let answer = StoredAnswer { status: 200, content_type: String::new(), body: who.clone() };
-                    let close = ClaimClose { key: name, attempt: who, answer: Some(answer), ran: true };
+                    let answer = StoredAnswer { status: 200, content_type: String::new(), body: attempt_id.clone() };
+                    let close = ClaimClose { key: name, attempt: attempt_id, answer: Some(answer), ran: true };
                     let closed = state.apply_command(&ClaimCommand::Close(close)) == ClaimOutcome::Closed;
                     prop_assert_eq!(closed, holder.get(&key) == Some(&attempt));
-                    if closed { ended.insert(key); }
+                    if closed { closed_keys.insert(key); }
                 }
                 3 => {
-                    let release = ClaimRelease { key: name, attempt: who };
+                    let release = ClaimRelease { key: name, attempt: attempt_id };
                     let freed = state.apply_command(&ClaimCommand::Release(release)) == ClaimOutcome::Closed;
                     if freed {
-                        prop_assert_eq!(holder.remove(&key), Some(attempt), "another's claim was released");
-                        prop_assert!(!ended.contains(&key), "an ended claim was released");
+                        prop_assert_eq!(holder.remove(&key), Some(attempt), "another attempt's claim was released");
+                        prop_assert!(!closed_keys.contains(&key), "a closed claim was released");
                     }
                 }
                 _ => {
-                    now += pass;
+                    now += elapsed_ms;
                     let sweep = ClaimSweep { now_ms: now, retain_ms: 3_600_000 };
                     state.apply_command(&ClaimCommand::Sweep(sweep));
                 }
@@ -139,9 +141,10 @@
     ClaimCommand::Sweep(ClaimSweep { now_ms, retain_ms: 60_000 })
 }
 
-/// The log's clock stood still for an hour; a claim opened before its next tick is not forgotten.
+/// A claim that is opened between two sweeps an hour apart is dated to the second one, so that it
+/// does not expire early.
 #[rstest]
-fn sweep_after_standstill() {
+fn sweep_after_stalled_clock() {
     let mut state = ClaimState::new();
     state.apply_command(&sweep(1_000));
     assert_eq!(state.apply_command(&open("first")), ClaimOutcome::Granted);
@@ -152,7 +155,7 @@
 }
 
 #[rstest]
-fn sweep_clock_back() {
+fn sweep_with_clock_regression() {
     let mut state = ClaimState::new();
     state.apply_command(&sweep(5_000));
     state.apply_command(&sweep(1_000));
