--- a/crates/log/tests/driver.rs
+++ b/crates/log/tests/driver.rs
@@ -1,8 +1,9 @@
-//! What a driver tells of that it applied.
+//! Callback of a driver for applied changes.
 //!
-//! Controllers push a configuration to gateways when they are told that it was applied, and count
-//! from then for how long a gateway lacks it. One that had been away got the newest configuration
-//! with a snapshot, was told nothing, and so held for up to date what its gateways lacked.
+//! Controllers send a configuration to gateways when the callback reports it as applied, and from
+//! then on count how long a gateway lacks it. A controller that was unreachable for a time receives
+//! the newest configuration in a snapshot. If the callback does not report the snapshot, the
+//! controller treats gateways that lack the configuration as up to date.
 
 use std::time::Duration;
 
@@ -12,13 +13,13 @@
 };
 use rstest::rstest;
 
-/// Longest wait for what must happen at once.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for the callback, which is expected immediately.
+const CALLBACK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Holds the snapshot that it was restored from.
-struct SnapshotHolder(Vec<u8>);
+/// State machine whose state is the snapshot that it was restored from.
+struct SnapshotMachine(Vec<u8>);
 
-impl StateMachine for SnapshotHolder {
+impl StateMachine for SnapshotMachine {
     fn apply(&mut self, _: &LogEntry) -> ProposalOutcome {
         ProposalOutcome::Held
     }
@@ -34,14 +35,15 @@
 }
 
 #[rstest]
-fn with_applied_tells_of_snapshot() {
+fn applied_callback_reports_snapshot() {
     let ids: Vec<DaemonId> = ["a", "b", "c"].iter().map(|id| DaemonId::from(*id)).collect();
-    let (sender, told) = flume::unbounded();
+    let (sender, reports) = flume::unbounded();
     let replica = ReplicaConfig::new(&ids[0], &ids[1..], &ids);
     let config = DriverConfig::new(replica, None).with_applied_callback(Box::new(move |_| {
         let _ = sender.send(());
     }));
-    let driver = LogDriver::start(config, SnapshotHolder(Vec::new()), |_, _| {}).expect("it runs");
+    let driver = LogDriver::start(config, SnapshotMachine(Vec::new()), |_, _| {})
+        .expect("the driver starts");
     let snapshot = LogSnapshot {
         index: LogIndex(20),
         term: Term(1),
@@ -50,7 +52,7 @@
     };
     let request = SnapshotRequest { term: Term(1), snapshot };
     driver.deliver(&ids[1], LogMessage::Snapshot(request));
-    assert!(told.recv_timeout(PATIENCE).is_ok(), "nobody was told");
-    assert_eq!(driver.read(|held| held.0.clone()), b"newest");
+    assert!(reports.recv_timeout(CALLBACK_TIMEOUT).is_ok(), "the snapshot was not reported");
+    assert_eq!(driver.read(|machine| machine.0.clone()), b"newest");
     driver.stop();
 }
--- a/crates/log/tests/elections.rs
+++ b/crates/log/tests/elections.rs
@@ -1,4 +1,4 @@
-//! How soon one leads where exactly a majority of the voters is left and all start at once.
+//! Time until a leader is elected if exactly a majority of the voters remains and all start at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +10,23 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Silence after which a voter stands, once it has heard a leader and before.
+/// Election timeouts of a voter: the usual one, and the one before it has received a leader's
+/// message.
 const ELECTION: Duration = Duration::from_millis(600);
 const FIRST_ELECTION: Duration = Duration::from_millis(130);
-/// Time after which controllers tell what they hold although none leads.
+/// Time after which controllers publish their state although there is no leader.
 const LEADERLESS: Duration = Duration::from_secs(2);
-/// Last index that is acknowledged.
+/// Last acknowledged index.
 const LAST: u64 = 20;
 const STEP: Duration = Duration::from_millis(2);
-/// Draws of each situation.
-const DRAWS: u64 = 300;
+/// Number of seeds per case.
+const SEEDS: u64 = 300;
 
 fn ids() -> Vec<DaemonId> {
     ["a", "b", "c", "d", "e"].map(DaemonId::from).to_vec()
 }
 
-/// A voter that has just started; its disk held a log up to this index, or nothing.
+/// A voter that has just started with a log up to index `kept`, or with an empty disk.
 fn voter(id: &DaemonId, kept: Option<u64>, seed: u64, now: Instant) -> LogReplica<MemoryStorage> {
     let config = ReplicaConfig::new(id, &ids(), &ids())
         .with_founding(false)
@@ -43,38 +44,38 @@
     LogReplica::new(config, storage, now)
 }
 
-/// Time until one leads, if two of five have lost their disks, the first of the others holds a log
-/// up to this index, and messages take up to this long.
+/// Returns the time until there is a leader, if two of five voters have lost their disks, the first
+/// of the others has a log up to index `first`, and messages take up to `slowest`.
 fn time_to_leader(seed: u64, slowest: Duration, first: u64) -> Duration {
     let start = Instant::now();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut replicas: BTreeMap<DaemonId, LogReplica<MemoryStorage>> = BTreeMap::new();
-    for (place, id) in ids().iter().enumerate() {
-        let kept = [Some(first), Some(LAST), Some(LAST), None, None][place];
+    for (position, id) in ids().iter().enumerate() {
+        let kept = [Some(first), Some(LAST), Some(LAST), None, None][position];
         replicas.insert(id.clone(), voter(id, kept, seed, start));
     }
-    let mut under_way: Vec<(Instant, DaemonId, DaemonId, LogMessage)> = Vec::new();
+    let mut in_flight: Vec<(Instant, DaemonId, DaemonId, LogMessage)> = Vec::new();
     let mut now = start;
     while now < start + Duration::from_secs(60) {
         now += STEP;
-        let (due, later) = under_way.into_iter().partition(|(at, ..)| *at <= now);
-        under_way = later;
+        let (due, later) = in_flight.into_iter().partition(|(at, ..)| *at <= now);
+        in_flight = later;
         let due: Vec<(Instant, DaemonId, DaemonId, LogMessage)> = due;
         for (_, from, to, message) in due {
-            replicas.get_mut(&to).expect("it is there").step(&from, message, now);
+            replicas.get_mut(&to).expect("every id has a replica").step(&from, message, now);
         }
         for (id, replica) in &mut replicas {
             replica.tick(now);
             for (to, message) in replica.flush(now) {
-                let travel = slowest.mul_f64(rng.random_range(0.1..1.0));
-                under_way.push((now + travel, id.clone(), to, message));
+                let latency = slowest.mul_f64(rng.random_range(0.1..1.0));
+                in_flight.push((now + latency, id.clone(), to, message));
             }
         }
         if replicas.values().any(LogReplica::is_current) {
             return now - start;
         }
     }
-    panic!("none leads with seed {seed}");
+    panic!("no leader was elected with seed {seed}");
 }
 
 #[rstest]
@@ -82,12 +83,12 @@
 #[case::busy(Duration::from_millis(40), LAST)]
 #[case::very_busy(Duration::from_millis(100), LAST)]
 #[case::first_one_behind(Duration::from_millis(40), LAST - 1)]
-fn leader_before_controllers_tell_on_their_own(#[case] slowest: Duration, #[case] first: u64) {
+fn leader_before_leaderless_publication(#[case] slowest: Duration, #[case] first: u64) {
     let mut times: Vec<Duration> =
-        (0..DRAWS).map(|seed| time_to_leader(seed, slowest, first)).collect();
+        (0..SEEDS).map(|seed| time_to_leader(seed, slowest, first)).collect();
     times.sort();
     let late = times.iter().filter(|time| **time > LEADERLESS).count();
     let median = times[times.len() / 2];
     let longest = times[times.len() - 1];
-    assert_eq!(late, 0, "of {DRAWS}; median {median:?}, longest {longest:?}");
+    assert_eq!(late, 0, "late elections of {SEEDS}; median {median:?}, longest {longest:?}");
 }
--- a/crates/log/tests/founding.rs
+++ b/crates/log/tests/founding.rs
@@ -1,4 +1,4 @@
-//! Who may found a log, and who has lost its disk.
+//! Founding of a log, lost disks and the readmission of voters.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,16 +30,16 @@
     let mut replica = replica(true);
     let peer = DaemonId::from("d");
     replica.add_peer(peer.clone());
-    assert!(!replica.voters().contains(&peer), "a peer that is learned of does not vote");
+    assert!(!replica.voters().contains(&peer), "a discovered peer is not a voter");
 }
 
-/// Replicas that hear each other at once.
+/// Replicas whose messages are delivered immediately.
 struct Cluster {
     now: Instant,
     replicas: BTreeMap<DaemonId, LogReplica<MemoryStorage>>,
 }
 
-/// A replica that knows all others, of which the settings of each name the first alone.
+/// A replica that has discovered all others, while its settings list only the first one.
 fn replica_with_one_seed(id: &DaemonId, founding: bool) -> LogReplica<MemoryStorage> {
     let seeds = &ids()[..1];
     let config = ReplicaConfig::new(id, seeds, seeds)
@@ -52,7 +52,7 @@
     replica
 }
 
-/// Three voters, of which the settings name the first alone.
+/// Three voters, while the settings of each list only the first one.
 fn cluster_with_one_seed() -> Cluster {
     let mut cluster = Cluster::with_replicas(|id| replica_with_one_seed(id, true));
     cluster.run(50);
@@ -63,8 +63,9 @@
     cluster
 }
 
-/// A voter that had lost its disk was never admitted anew: its leader, which no setting named, did
-/// not count itself among the daemons that it knew, and refused its own proposal 50 times.
+/// A leader that no settings list must be able to propose voter changes. If it does not count itself
+/// among the known daemons, it refuses its own proposals (50 in a row in one case), and a voter that
+/// has lost its disk is never readmitted.
 #[rstest]
 fn propose_by_leader_beyond_seeds() {
     let mut cluster = cluster_with_one_seed();
@@ -72,16 +73,16 @@
     cluster.replicas.insert(seed.clone(), replica_with_one_seed(&seed, false));
     cluster.run(100);
     let others = ids()[1..].to_vec();
-    assert!(others.contains(cluster.leader().id()), "a voter without its log does not lead");
+    assert!(others.contains(cluster.leader().id()), "a voter that lost its log does not lead");
     cluster.propose(EntryPayload::Voters(others));
     cluster.run(50);
     cluster.propose(EntryPayload::Voters(ids()));
     cluster.run(50);
-    assert!(cluster.replicas[&seed].fault().is_none(), "it votes again");
+    assert!(cluster.replicas[&seed].fault().is_none(), "the replaced voter votes again");
 }
 
-/// A voter that no setting names came back with an empty disk and voted at once: it took the
-/// history in which it had been admitted for an admission after the loss.
+/// A voter that no settings list and that restarts with an empty disk must not vote. It could
+/// mistake the old entry that admitted it for an admission after the loss.
 #[rstest]
 #[case::entries_kept(false)]
 #[case::entries_compacted(true)]
@@ -103,7 +104,7 @@
     cluster.run(50);
     cluster.propose(EntryPayload::Voters(ids()));
     cluster.run(50);
-    assert_eq!(fault(&cluster), None, "it votes again");
+    assert_eq!(fault(&cluster), None, "the replaced voter votes again");
 }
 
 impl Cluster {
@@ -116,7 +117,7 @@
         Self { now: Instant::now(), replicas }
     }
 
-    /// Lets time pass in small steps, and delivers every message.
+    /// Advances the time in steps of 10 ms and delivers every message.
     fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.now += Duration::from_millis(10);
@@ -149,12 +150,12 @@
     }
 
     fn leader(&mut self) -> &mut LogReplica<MemoryStorage> {
-        self.replicas.values_mut().find(|replica| replica.is_leader()).expect("one leads")
+        self.replicas.values_mut().find(|replica| replica.is_leader()).expect("there is a leader")
     }
 
     fn propose(&mut self, payload: EntryPayload) {
         let now = self.now;
-        self.leader().propose(vec![payload], now).expect("the leader takes it");
+        self.leader().propose(vec![payload], now).expect("the leader accepts the proposal");
         self.deliver();
     }
 }
@@ -178,11 +179,11 @@
     )
 }
 
-/// Voters that have just started stand sooner than those that miss a leader.
+/// Voters that have just started use the first election timeout, not the usual one.
 #[rstest]
 #[case::soon(20, true)]
-#[case::as_if_a_leader_were_missed(100, false)]
-fn new_stands_after_first_election(#[case] first_ms: u64, #[case] elected: bool) {
+#[case::usual_timeout(100, false)]
+fn election_after_first_timeout(#[case] first_ms: u64, #[case] elected: bool) {
     let first = Duration::from_millis(first_ms);
     let mut cluster = Cluster::with_replicas(|id| {
         let config = config_of(id, true).with_first_election(first);
@@ -195,7 +196,7 @@
 #[rstest]
 #[case::entries_kept(false)]
 #[case::entries_compacted(true)]
-fn wiped_voter_is_admitted_anew(#[case] compacted: bool) {
+fn wiped_voter_is_readmitted(#[case] compacted: bool) {
     let mut cluster = Cluster::new();
     cluster.run(100);
     for _ in 0..20 {
@@ -213,14 +214,14 @@
     let others: Vec<DaemonId> = ids().into_iter().filter(|id| *id != wiped).collect();
     cluster.propose(EntryPayload::Voters(others));
     cluster.run(50);
-    assert_eq!(cluster.replicas[&wiped].voters().len(), 2, "it hears of its removal");
+    assert_eq!(cluster.replicas[&wiped].voters().len(), 2, "the wiped voter receives its removal");
     cluster.propose(EntryPayload::Voters(ids()));
     cluster.run(50);
-    assert!(cluster.replicas[&wiped].fault().is_none(), "it votes again");
+    assert!(cluster.replicas[&wiped].fault().is_none(), "the replaced voter votes again");
     assert_eq!(cluster.replicas[&wiped].commit(), cluster.leader().commit());
 }
 
-/// Append of a leader of term 2 whose entries up to this index are committed.
+/// Append request of a leader of term 2 with the entries after `previous` up to `last`.
 fn append(previous: u64, last: u64, commit: u64, term_of_last: u64) -> LogMessage {
     let entry = |index: u64| {
         let term = if index == last { Term(term_of_last) } else { Term(1) };
@@ -238,8 +239,9 @@
     })
 }
 
-/// Controllers told gateways the snapshot that they had just been sent, 18 changes older than what
-/// was acknowledged: that a leader was confirmed said nothing of what had come of its log.
+/// A replica is not complete after a snapshot alone, although its leader is confirmed. Controllers
+/// that publish such a state send gateways a configuration older than the acknowledged one, by 18
+/// changes in one case.
 #[rstest]
 #[case::caught_up(append(20, 40, 40, 2), true)]
 #[case::behind_commit(append(20, 30, 40, 2), false)]
@@ -253,8 +255,8 @@
     let request = SnapshotRequest { term: Term(2), snapshot };
     replica.step(&leader, LogMessage::Snapshot(request), Instant::now());
     replica.step(&leader, append(40, 40, 40, 2), Instant::now());
-    assert!(replica.confirmed().is_some(), "it knows of a confirmed leader");
-    assert!(replica.complete().is_none(), "it has only the snapshot");
+    assert!(replica.confirmed().is_some(), "the leader is confirmed");
+    assert!(replica.complete().is_none(), "the replica has only the snapshot");
     replica.step(&leader, next, Instant::now());
     assert_eq!(replica.complete().is_some(), complete);
 }
--- a/crates/log/tests/replication.rs
+++ b/crates/log/tests/replication.rs
@@ -1,9 +1,10 @@
-//! The log against a naive model: one list that only grows.
+//! The log against a reference model: one list that only grows.
 //!
-//! Random schedules lose, repeat, delay and reorder messages, crash replicas
-//! (which forget what they had not synced), wipe a disk and change the clock's
-//! pace. Whatever happens, all applied entries must be prefixes of one list,
-//! nothing acknowledged may be missing from it, and a term has one leader.
+//! Random schedules lose, duplicate, delay and reorder messages, partition
+//! links, crash replicas (which lose unsynced data) and advance the time by
+//! random steps. In every schedule, the entries applied by each replica must be
+//! a prefix of one list, no acknowledged entry may be missing from it, and a
+//! term has at most one leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,7 +22,7 @@
 
 const ELECTION: Duration = Duration::from_millis(100);
 
-/// Storage that forgets on a crash what was appended but not synced.
+/// Storage that loses unsynced data on a crash.
 #[derive(Debug)]
 struct CrashStorage {
     synced: Vec<StorageAction>,
@@ -43,7 +44,7 @@
         Self { synced: Vec::new(), pending: Vec::new(), live }
     }
 
-    /// What a restart finds on the disk.
+    /// Returns the storage that a restart finds.
     fn crash(self) -> Self {
         let mut live = MemoryStorage::new().with_durable(true);
         for action in &self.synced {
@@ -53,7 +54,7 @@
                 StorageAction::Vote(vote) => live.set_vote(vote),
                 StorageAction::Snapshot(snapshot) => live.install_snapshot(snapshot),
             };
-            replayed.expect("what was done once can be done again");
+            replayed.expect("synced actions can be replayed");
         }
         Self { synced: self.synced, pending: Vec::new(), live }
     }
@@ -77,7 +78,7 @@
         &mut self,
         vote: hollowbarrow_log::VoteRecord,
     ) -> Result<(), hollowbarrow_log::StoreLogError> {
-        // A vote is synced alone: entries that wait stay unsynced.
+        // A vote is synced on its own: pending entries stay unsynced.
         self.synced.push(StorageAction::Vote(vote.clone()));
         self.live.set_vote(vote)
     }
@@ -116,7 +117,7 @@
     ids: Vec<DaemonId>,
     replicas: BTreeMap<DaemonId, LogReplica<CrashStorage>>,
     network: Vec<(DaemonId, DaemonId, LogMessage)>,
-    cut: BTreeSet<(DaemonId, DaemonId)>,
+    partitioned: BTreeSet<(DaemonId, DaemonId)>,
     applied: BTreeMap<DaemonId, Vec<LogEntry>>,
     leaders: BTreeMap<Term, DaemonId>,
     acknowledged: Vec<(LogIndex, Term)>,
@@ -149,7 +150,7 @@
             ids,
             replicas,
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             leaders: BTreeMap::new(),
             acknowledged: Vec::new(),
             longest: Vec::new(),
@@ -210,9 +211,9 @@
             90..93 => self.crash(&id),
             93..96 => {
                 let other = self.ids[self.rng.random_range(0..self.ids.len())].clone();
-                self.cut.insert((id, other));
+                self.partitioned.insert((id, other));
             }
-            96..98 => self.cut.clear(),
+            96..98 => self.partitioned.clear(),
             _ => {
                 let state = serde_to(&self.applied[&id]);
                 self.replicas.get_mut(&id).expect("known").compact(state);
@@ -231,7 +232,8 @@
         } else {
             self.network.remove(position)
         };
-        let lost = self.rng.random_bool(0.05) || self.cut.contains(&(from.clone(), to.clone()));
+        let lost =
+            self.rng.random_bool(0.05) || self.partitioned.contains(&(from.clone(), to.clone()));
         if lost {
             return;
         }
@@ -255,9 +257,9 @@
         self.replicas.insert(id.clone(), LogReplica::new(config, storage, self.now));
     }
 
-    /// Ends all faults and runs until everything has gone round.
+    /// Ends all faults and runs for 4 s, so that all replicas catch up.
     fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
         for _ in 0..400 {
             self.now += Duration::from_millis(10);
             for id in self.ids.clone() {
@@ -319,39 +321,39 @@
     assert!(group.replicas.values().all(|replica| replica.fault().is_none()));
 }
 
-/// A voter whose disk was lost must not help to elect, or acknowledged entries could be lost.
+/// A voter whose disk was lost must not vote, or acknowledged entries could be lost.
 #[rstest]
 fn vote_lost_disk() {
     let mut group = Group::new(3, 11);
     group.heal();
-    // Only the wiped voter and one other are left, which must not be enough.
+    // Only the wiped voter and one other can communicate, which must not be a quorum.
     let leader = group.replicas.values().find(|r| r.is_leader()).map(|r| r.id().clone());
-    let gone = leader.expect("the group has a leader");
-    let wiped = group.ids.iter().find(|id| **id != gone).cloned().expect("there are three");
+    let isolated = leader.expect("the group has a leader");
+    let wiped = group.ids.iter().find(|id| **id != isolated).cloned().expect("there are three");
     let config = ReplicaConfig::new(&wiped, &group.ids, &group.ids).with_election(ELECTION);
     group.applied.insert(wiped.clone(), Vec::new());
     group.replicas.insert(wiped.clone(), LogReplica::new(config, CrashStorage::new(), group.now));
     for id in group.ids.clone() {
-        group.cut.insert((gone.clone(), id.clone()));
-        group.cut.insert((id, gone.clone()));
+        group.partitioned.insert((isolated.clone(), id.clone()));
+        group.partitioned.insert((id, isolated.clone()));
     }
     for _ in 0..4000 {
         group.deliver();
         group.now += Duration::from_millis(2);
-        for id in group.ids.clone().iter().filter(|id| **id != gone) {
+        for id in group.ids.clone().iter().filter(|id| **id != isolated) {
             let now = group.now;
             group.replicas.get_mut(id).expect("known").tick(now);
             group.settle(id);
         }
     }
-    let others = group.replicas.values().filter(|r| r.is_leader() && *r.id() != gone).count();
+    let others = group.replicas.values().filter(|r| r.is_leader() && *r.id() != isolated).count();
     assert_eq!(others, 0, "a wiped voter helped to elect a leader");
     group.heal();
     let fault = group.replicas[&wiped].fault().map(ToString::to_string).unwrap_or_default();
-    assert!(fault.contains("replace this voter"), "the wiped voter says {fault:?}");
+    assert!(fault.contains("replace this voter"), "the wiped voter reports {fault:?}");
 }
 
-/// Removing and adding the voter again, as an operator does, makes it whole.
+/// Removing a wiped voter and adding it again, as an operator does, restores it.
 #[rstest]
 fn replace_lost_disk() {
     let mut group = Group::new(3, 13);
@@ -367,24 +369,24 @@
     for voters in [rest, group.ids.clone()] {
         let now = group.now;
         let replica = group.replicas.get_mut(&leader).expect("known");
-        let taken = replica.propose(vec![EntryPayload::Voters(voters)], now);
-        assert!(taken.is_some(), "the change of voters was refused");
+        let proposed = replica.propose(vec![EntryPayload::Voters(voters)], now);
+        assert!(proposed.is_some(), "the change of voters was refused");
         group.heal();
     }
     assert!(group.replicas[&wiped].fault().is_none(), "{:?}", group.replicas[&wiped].fault());
     assert_eq!(group.replicas[&wiped].voters().len(), 3);
 }
 
-/// A leader that hears from no one knows it and stops leading.
+/// A leader that receives no replies steps down.
 #[rstest]
-fn lead_cut_off() {
+fn lead_while_isolated() {
     let mut group = Group::new(3, 17);
     group.heal();
     let leader = group.replicas.values().find(|r| r.is_leader()).map(|r| r.id().clone());
     let leader = leader.expect("the group has a leader");
     for id in group.ids.clone() {
-        group.cut.insert((leader.clone(), id.clone()));
-        group.cut.insert((id, leader.clone()));
+        group.partitioned.insert((leader.clone(), id.clone()));
+        group.partitioned.insert((id, leader.clone()));
     }
     for _ in 0..200 {
         group.now += ELECTION / 10;
--- a/crates/log/tests/storage.rs
+++ b/crates/log/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Files of the log: torn tails, damage, snapshots and restarts.
+//! File storage of the log: torn tails, damage, snapshots and restarts.
 
 use std::io::Write;
 use std::path::Path;
@@ -59,7 +59,7 @@
         let length = std::fs::metadata(&path).expect("readable").len();
         let file = std::fs::OpenOptions::new().write(true).open(&path).expect("writable");
         file.set_len(length - cut.min(length)).expect("writable");
-        let mut storage = FileStorage::open(folder.path()).expect("a torn tail is cut");
+        let mut storage = FileStorage::open(folder.path()).expect("a torn tail is cut off");
         let next = *storage.window().last_index() + 1;
         prop_assert!(next <= 4);
         storage.append(&[entry(next)]).expect("entries follow the cut");
@@ -88,7 +88,7 @@
     let path = segment(folder.path());
     let mut file = std::fs::OpenOptions::new().append(true).open(path).expect("writable");
     file.write_all(&[0xff; 13]).expect("writable");
-    let storage = FileStorage::open(folder.path()).expect("a torn tail is cut");
+    let storage = FileStorage::open(folder.path()).expect("a torn tail is cut off");
     assert_eq!(storage.window().last_index(), LogIndex(3));
 }
 
