--- a/crates/schema/src/keys.rs
+++ b/crates/schema/src/keys.rs
@@ -1,23 +1,23 @@
-//! Keys of callers and operators, of which only hashes are kept.
+//! Keys of callers and operators; only their hashes are stored.
 //!
 //! Invariant: a comparison takes the same time wherever the first differing
-//! byte is, and every configured hash is compared, so that timing tells
-//! nothing about which key came close.
+//! byte is, and every configured hash is compared, so that the timing reveals
+//! nothing about the configured keys.
 
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
 use crate::KeySettings;
 
-/// Bytes of a SHA-256 digest.
+/// Length of a SHA-256 digest in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// Returns the hash of a key as the 64 hexadecimal digits that settings hold.
+/// Returns the hash of a key as 64 hexadecimal digits, the format used in settings.
 pub fn hash_key(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Whether the presented key is one of those whose hashes are configured.
+/// Returns whether the hash of the presented key is configured.
 pub fn is_known_key(presented: &str, known: &[KeySettings]) -> bool {
     let presented = Sha256::digest(presented.as_bytes());
     known
@@ -26,7 +26,7 @@
         .fold(false, |found, digest| found | bool::from(presented.as_slice().ct_eq(&digest)))
 }
 
-/// Decodes 64 hexadecimal digits, or returns none if the text is something else.
+/// Decodes 64 hexadecimal digits; returns none for any other text.
 pub fn decode_digest(text: &str) -> Option<[u8; DIGEST_BYTES]> {
     if text.len() != 2 * DIGEST_BYTES || !text.is_ascii() {
         return None;
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,8 +1,8 @@
-//! Types that cross a process boundary, generated from `schema/hollowbarrow.json`.
+//! Types of messages, settings and stored data, generated from `schema/hollowbarrow.json`.
 //!
 //! Every other crate depends on this one and it depends on none of them. The
 //! module `generated` is written by `hollowbarrow-schemagen` and committed; the
-//! other modules hold the few rules that belong to the types themselves.
+//! other modules contain functions and checks on these types.
 //!
 //! Invariants: a `Settings` value that came from [`settings::read_settings`]
 //! satisfies every rule of the schema and of [`settings::check_settings`].
@@ -21,13 +21,13 @@
 pub use instance::{Incarnation, START_TIME_SEPARATOR};
 pub use quarantine::{ParseContentError, parse_content, read_release_path, release_path};
 
-/// Version of the messages between daemons; both ends of a connection must agree on it.
+/// Version of the messages between daemons; both ends of a connection must use the same one.
 pub const PROTOCOL_VERSION: u32 = 3;
 
-/// Label with which operators drain one node.
+/// Label by which operators drain a node.
 pub const DRAIN_LABEL: &str = "drain";
 
-/// Text of the schema from which the types were generated.
+/// Text of the schema from which the types are generated.
 pub const SCHEMA_TEXT: &str = include_str!("../../../schema/hollowbarrow.json");
 
 macro_rules! text_ids {
@@ -55,7 +55,7 @@
 );
 
 impl ConfigCommand {
-    /// Name of the object that the command changes, unique over all kinds of object.
+    /// Returns the name of the object that the command changes, unique among all kinds of objects.
     pub fn object(&self) -> String {
         match self {
             Self::PutGroup(spec) => format!("group/{}", *spec.name),
@@ -69,25 +69,27 @@
 }
 
 impl ZoneTable {
-    /// Order in which tables of one availability zone supersede each other.
+    /// Returns the key by which tables of one availability zone are ordered; a higher one supersedes
+    /// a lower one.
     pub fn rank(&self) -> (Term, u64) {
         (self.term, self.version)
     }
 }
 
 impl Allocation {
-    /// The member that answers requests; an allocation always has one.
+    /// Returns the member that answers requests, which is the first one; an allocation is never
+    /// empty.
     pub fn head(&self) -> &NodeId {
         &self.members[0]
     }
 
-    /// Name under which a node reports the weights that this allocation needs.
+    /// Returns the name under which nodes report the weights that this allocation needs.
     pub fn weights(&self) -> String {
         weights_name(&self.model, &self.version)
     }
 }
 
-/// Name under which nodes report the weights of a model's version.
+/// Returns the name under which nodes report the weights of a model version.
 pub fn weights_name(model: &ModelName, version: &str) -> String {
     format!("{}@{version}", **model)
 }
--- a/crates/schema/src/selector.rs
+++ b/crates/schema/src/selector.rs
@@ -1,34 +1,35 @@
-//! Matching of selectors against the labels of a node.
+//! Matches selectors against the labels of a node.
 
 use crate::{FieldFault, Labels, Selector, SelectorExpression, SelectorOperator};
 
 impl Selector {
-    /// Whether every condition holds for the labels; no condition matches everything.
+    /// Returns whether the labels satisfy every condition; a selector without conditions matches
+    /// all labels.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.failing_condition(labels).is_none()
     }
 
-    /// Describes the first condition that does not hold, for explanations to people.
+    /// Describes the first condition that the labels do not satisfy, for explanations to operators.
     pub fn failing_condition(&self, labels: &Labels) -> Option<String> {
-        for (key, wanted) in self.match_labels.iter() {
+        for (key, expected) in self.match_labels.iter() {
             match labels.get(key) {
-                Some(found) if found == wanted => {}
-                Some(found) => return Some(format!("label {key} is {found}, not {wanted}")),
-                None => return Some(format!("label {key} is missing, wanted {wanted}")),
+                Some(found) if found == expected => {}
+                Some(found) => return Some(format!("label {key} is {found}, not {expected}")),
+                None => return Some(format!("label {key} is missing, wanted {expected}")),
             }
         }
         self.expressions.iter().find_map(|expression| expression.failure(labels))
     }
 
-    /// Lists expressions whose values do not fit their operator.
+    /// Returns a fault for each expression whose values do not fit its operator.
     pub fn faults(&self, field: &str) -> Vec<FieldFault> {
         let mut faults = Vec::new();
         for (index, expression) in self.expressions.iter().enumerate() {
-            let wants_values =
+            let needs_values =
                 matches!(expression.operator, SelectorOperator::In | SelectorOperator::NotIn);
-            if wants_values == expression.values.is_empty() {
+            if needs_values == expression.values.is_empty() {
                 let allowed =
-                    if wants_values { "at least one value" } else { "no values for this operator" };
+                    if needs_values { "at least one value" } else { "no values for this operator" };
                 faults.push(FieldFault {
                     field: format!("{field}.expressions[{index}].values"),
                     line: None,
--- a/crates/schema/src/settings.rs
+++ b/crates/schema/src/settings.rs
@@ -1,6 +1,6 @@
-//! Reading and checking of settings and operators' documents.
+//! Reads and checks settings and the documents of operators.
 //!
-//! Both are JSON with comments. Every fault of a text is reported in one run.
+//! Both are JSON with comments. All faults of a text are reported at once.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use crate::validate::{find_faults, line_at};
 use crate::{DaemonId, FieldFault, GroupSpec, KeySettings, SelectorExpression, Settings, keys};
 
-/// Largest number of nodes in a replica.
+/// Maximum number of nodes in a replica.
 pub const MAX_REPLICA_SIZE: u32 = 32;
 
-/// A text that is not what it should be.
+/// Faults of a text.
 #[derive(Debug, Error)]
 #[error("{} in {origin}", count_faults(faults))]
 pub struct ReadSettingsError {
-    /// Name of the file or field that held the text.
+    /// Name of the file or field that contains the text.
     pub origin: String,
     /// All faults, at least one.
     pub faults: Vec<FieldFault>,
@@ -39,12 +39,12 @@
     }
 }
 
-/// Reads settings of a daemon.
+/// Reads the settings of a daemon.
 ///
 /// # Errors
 ///
-/// All faults of syntax and schema, or, where there are none, all faults that
-/// [`check_settings`] finds.
+/// Returns all faults of syntax and schema or, if there are none, all faults
+/// that [`check_settings`] finds.
 pub fn read_settings(origin: &str, text: &str) -> Result<Settings, ReadSettingsError> {
     let settings: Settings = read_document(origin, text, "Settings")?;
     let mut faults = check_settings(&settings);
@@ -58,11 +58,11 @@
     }
 }
 
-/// Reads a commented JSON text as a definition of the schema.
+/// Reads JSON with comments as the named definition of the schema.
 ///
 /// # Errors
 ///
-/// All faults of syntax and schema.
+/// Returns all faults of syntax and schema.
 pub fn read_document<T: DeserializeOwned>(
     origin: &str,
     text: &str,
@@ -101,7 +101,7 @@
     })
 }
 
-/// Finds the line on which a field's last name stands as a key, after its parents' keys.
+/// Returns the line of the field with the given path, or of its innermost existing parent.
 fn find_line(text: &str, field: &str) -> Option<u32> {
     let ast =
         jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default());
@@ -132,7 +132,7 @@
     Some(line_at(text, start))
 }
 
-/// Collects the faults that the schema's keywords cannot express.
+/// Returns the faults that the keywords of the schema cannot express.
 pub fn check_settings(settings: &Settings) -> Vec<FieldFault> {
     let mut checker = SettingsChecker { faults: Vec::new() };
     checker.check_addresses(settings);
@@ -144,7 +144,7 @@
     checker.faults
 }
 
-/// Lists what is wrong with a group that an operator asks for.
+/// Returns the faults of a group that an operator requests.
 pub fn check_group(spec: &GroupSpec) -> Vec<FieldFault> {
     let mut checker = SettingsChecker { faults: Vec::new() };
     checker.check_name("name", &spec.name);
@@ -209,14 +209,14 @@
                 self.fault(&format!("peers[{index}].id"), found, "each daemon once");
             }
         }
-        let own = settings.peers.iter().find(|peer| peer.id == settings.id);
-        match own {
+        let local = settings.peers.iter().find(|peer| peer.id == settings.id);
+        match local {
             None => self.fault("id", format!("{:?}", *settings.id), "the id of one of the peers"),
-            Some(own) if own.zone != settings.zone => {
-                let allowed = format!("{:?}, as its entry in peers says", *own.zone);
+            Some(local) if local.zone != settings.zone => {
+                let allowed = format!("{:?}, as its entry in peers says", *local.zone);
                 self.fault("zone", format!("{:?}", *settings.zone), &allowed);
             }
-            Some(own) if own.voter && settings.data.is_none() => {
+            Some(local) if local.voter && settings.data.is_none() => {
                 self.fault("data", "nothing".to_owned(), "a folder; this daemon is a voter");
             }
             Some(_) => {}
@@ -289,11 +289,11 @@
     }
 }
 
-/// Splits `key in (a,b)`, `key notin (a,b)`, `key`, `!key` and `key=value` conditions.
+/// Parses a condition of the form `key in (a,b)`, `key notin (a,b)`, `key`, `!key` or `key=value`.
 ///
 /// # Errors
 ///
-/// Returns the fault if the text is none of these forms.
+/// Returns a fault if the text has none of these forms.
 pub fn parse_condition(text: &str) -> Result<SelectorExpression, FieldFault> {
     use crate::SelectorOperator::{Exists, In, NotExists, NotIn};
     let text = text.trim();
--- a/crates/schema/src/validate.rs
+++ b/crates/schema/src/validate.rs
@@ -1,8 +1,9 @@
-//! Checks a commented JSON text against a definition of the schema.
+//! Validates JSON with comments against a definition of the schema.
 //!
-//! Unlike deserialization this does not end at the first fault: it collects
-//! every fault with its line, the field's path, what was found and what is
-//! allowed. It knows the keywords that `schema/hollowbarrow.json` uses.
+//! Unlike deserialization, validation does not stop at the first fault: it
+//! collects every fault with its line, the field's path, the value found and
+//! the allowed values. It supports the keywords that
+//! `schema/hollowbarrow.json` uses.
 
 use jsonc_parser::ast::Value as Node;
 use jsonc_parser::common::Ranged;
@@ -19,7 +20,7 @@
     validator.faults
 }
 
-/// Line, from 1, of a byte offset.
+/// Returns the line of a byte offset, counted from 1.
 pub(crate) fn line_at(text: &str, offset: usize) -> u32 {
     let newlines = text.as_bytes()[..offset.min(text.len())].iter().filter(|byte| **byte == b'\n');
     u32::try_from(newlines.count() + 1).unwrap_or(u32::MAX)
@@ -36,7 +37,8 @@
         &self.schema["definitions"][name]
     }
 
-    /// Follows references and the single-member `allOf` that carries a default.
+    /// Follows references and single-member `allOf` rules, which the schema uses for fields with a
+    /// default.
     fn resolve(&self, mut rule: &'a Value) -> &'a Value {
         loop {
             if let Some(reference) = rule["$ref"].as_str() {
@@ -177,8 +179,8 @@
             _ => 9_007_199_254_740_992.0,
         };
         let maximum = rule["maximum"].as_f64().unwrap_or(limit);
-        let whole = kind != "integer" || digits.parse::<u64>().is_ok();
-        if !whole || !(minimum..=maximum).contains(&value) {
+        let fits_kind = kind != "integer" || digits.parse::<u64>().is_ok();
+        if !fits_kind || !(minimum..=maximum).contains(&value) {
             let name = if kind == "integer" { "a whole number" } else { "a number" };
             self.report(
                 node,
--- a/crates/schema/tests/settings.rs
+++ b/crates/schema/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: the examples are fine, and each kind of fault is told with its place.
+//! Settings: the examples are valid, and each kind of fault is reported with its field and line.
 
 use hollowbarrow_schema::keys::{hash_key, is_known_key};
 use hollowbarrow_schema::settings::{parse_condition, read_document, read_settings};
@@ -26,10 +26,13 @@
 
 #[rstest]
 fn read_good_settings() {
-    let settings = read_settings("good", GOOD).expect("the settings are fine");
+    let settings = read_settings("good", GOOD).expect("the settings are valid");
     assert_eq!(settings.limits.streams, 512, "defaults are filled in");
     assert_eq!(settings.timing.digest_ms, 500);
-    assert!(!settings.managed.matches(&Labels(Default::default())), "nothing is managed unasked");
+    assert!(
+        !settings.managed.matches(&Labels(Default::default())),
+        "no node is managed by default"
+    );
 }
 
 #[rstest]
@@ -90,16 +93,17 @@
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let mut checked = 0;
     for user in ["taborttuz", "settlement-desk"] {
-        for file in std::fs::read_dir(root.join(user)).expect("the examples are there") {
+        for file in std::fs::read_dir(root.join(user)).expect("the folder of examples is readable")
+        {
             let path = file.expect("readable").path();
             let text = std::fs::read_to_string(&path).expect("readable");
             let name = path.display().to_string();
             if name.ends_with("groups.jsonc") {
                 let document: ApplyDocument =
-                    read_document(&name, &text, "ApplyDocument").expect("the groups are fine");
+                    read_document(&name, &text, "ApplyDocument").expect("the groups are valid");
                 assert!(!document.groups.is_empty());
             } else {
-                let settings = read_settings(&name, &text).expect("the settings are fine");
+                let settings = read_settings(&name, &text).expect("the settings are valid");
                 assert_eq!(settings.organisations.len(), 10);
                 assert!((8..=9).contains(&settings.peers.len()));
             }
@@ -116,7 +120,7 @@
 #[case("!tier", "tier=x", false)]
 #[case("tier=fast", "tier=slow", false)]
 fn match_condition(#[case] condition: &str, #[case] label: &str, #[case] matches: bool) {
-    let expression = parse_condition(condition).expect("the condition is fine");
+    let expression = parse_condition(condition).expect("the condition is valid");
     let selector = Selector { expressions: vec![expression], ..Selector::default() };
     let (key, value) = label.split_once('=').expect("a label");
     let labels = Labels([(key.to_owned(), value.to_owned())].into_iter().collect());
@@ -134,7 +138,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the text, reading ends with settings or with at least one fault, never a panic.
+    /// For any text, reading returns settings or at least one fault and does not panic.
     #[test]
     fn fuzz_read_settings(cut in 0usize..1200, insert in "[\\[\\]{},:\"a-z0-9 /*\\\\-]{0,12}") {
         let mut text = GOOD.to_owned();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,11 +1,11 @@
-//! Logs and metrics of every process.
+//! Logging and metrics of all processes.
 //!
-//! A log line is one event as key=value pairs. Lines are bounded in number and
-//! bytes, and are written by a thread of their own, so that a reader that does
-//! not read holds nobody up. Metrics are kept by the OpenTelemetry library and
-//! shown as text.
+//! A log line is one event as key=value pairs. Lines are limited in number and
+//! bytes, and are written by a separate thread, so that a slow reader of
+//! standard error does not block the process. Metrics are collected by the
+//! OpenTelemetry library and rendered as text.
 //!
-//! Invariant: what is dropped is counted and said.
+//! Invariant: dropped log lines are counted, and their number is logged.
 
 mod budget;
 mod logging;
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process, and the page of text that shows them.
+//! Metrics of one process and their rendering as text.
 
 use std::fmt::{Display, Write as _};
 use std::sync::{Arc, Weak};
@@ -14,13 +14,13 @@
 };
 
 const SCOPE: &str = "hollowbarrow";
-/// Bounds of histograms of times, in milliseconds.
+/// Bucket bounds of time histograms, in milliseconds.
 pub const TIME_BOUNDS: &[f64] = &[
     1.0, 2.0, 5.0, 10.0, 20.0, 26.0, 50.0, 100.0, 200.0, 500.0, 860.0, 1000.0, 2000.0, 5000.0,
     10_000.0, 30_000.0,
 ];
 
-/// Reader that shares one [`ManualReader`] between the provider and the page of metrics.
+/// Shares one [`ManualReader`] between the meter provider and the [`MetricsPage`].
 #[derive(Clone, Debug)]
 struct SharedReader(Arc<ManualReader>);
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Keeps the metrics of a process.
+/// Collects the metrics of a process and renders them as text.
 #[derive(Debug)]
 pub struct MetricsPage {
     reader: SharedReader,
@@ -67,17 +67,17 @@
         Self { reader, meters }
     }
 
-    /// Makes instruments whose values the page shows.
+    /// Returns a meter whose instruments appear on the page.
     pub fn meter(&self) -> Meter {
         self.meters.meter(SCOPE)
     }
 
-    /// Makes a histogram of times in milliseconds.
+    /// Creates a histogram of times in milliseconds.
     pub fn time_histogram(&self, name: &'static str) -> Histogram<f64> {
         self.meter().f64_histogram(name).with_boundaries(TIME_BOUNDS.to_vec()).build()
     }
 
-    /// All metrics as text, a line each: name, labels and value.
+    /// Renders all metrics as text, one line per value: name, labels and value.
     pub fn to_text(&self) -> String {
         let mut metrics = ResourceMetrics::default();
         if self.reader.collect(&mut metrics).is_err() {
