--- a/crates/log/src/replica.rs
+++ b/crates/log/src/replica.rs
@@ -86,7 +86,7 @@
     /// Sets the election timeout of a voter that has received no leader's message since its start;
     /// by default the usual election timeout applies.
     ///
-    /// Such an election fails if there is a leader, because voters that follow one reject a trial.
+    /// The election fails if there is a leader, because voters that follow one reject a trial.
     /// Votes that the voter gave a leader before its own restart do not delay the election, so code
     /// that relies on a leader's confirmation must wait for an election timeout at the beginning of
     /// a term.
--- a/crates/log/tests/founding.rs
+++ b/crates/log/tests/founding.rs
@@ -240,7 +240,7 @@
 }
 
 /// A replica is not complete after a snapshot alone, although its leader is confirmed. Controllers
-/// that publish such a state send gateways a configuration older than the acknowledged one, by 18
+/// that publish this state send gateways a configuration older than the acknowledged one, by 18
 /// changes in one case.
 #[rstest]
 #[case::caught_up(append(20, 40, 40, 2), true)]
