--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -38,7 +38,7 @@
         ModelConfig { token: Duration::from_millis(26), batch: 2000, ..ModelConfig::default() };
     let fleet = FleetConfig::new(&[ZoneId::from("a")], 2, 3).with_model(model);
     let cluster = small_cluster(&zones, fleet).await?;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 1,
         "count": 6, "selector": {"match_labels": {"given": "hollowbarrow"}}}});
     cluster.change("a0", "group", &group).await;
@@ -191,7 +191,7 @@
 
 /// Bytes of messages that a daemon has sent and received.
 async fn peer_bytes(cluster: &Cluster, id: &str) -> f64 {
-    let reply = cluster.operate(id, hyper::Method::GET, "/metrics", &json!(null)).await;
+    let reply = cluster.call_operator_api(id, hyper::Method::GET, "/metrics", &json!(null)).await;
     let lines = reply.body.lines().filter(|line| line.starts_with("hollowbarrow_peer_bytes"));
     lines.filter_map(|line| line.split_whitespace().last()?.parse::<f64>().ok()).sum()
 }
--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -118,7 +118,7 @@
     load.abort();
     let history = cluster.fleet().history().to_vec();
     let incomplete = history.iter().filter(|run| run.missing_ms > LEASE_MS).count();
-    let overridden = cluster.fleet().overridden();
+    let stale_orders_accepted = cluster.fleet().stale_orders_accepted();
     let repair = sampled.repair_s.map_or("never".to_owned(), |repair| format!("{repair:.2}"));
     let served = history.len();
     Ok(format!(
@@ -127,7 +127,7 @@
         policy.name(),
         sampled.down_s,
         sampled.stranded_s,
-        sampled.two_groups + overridden,
+        sampled.two_groups + stale_orders_accepted,
         sampled.reverted,
     ))
 }
@@ -153,7 +153,7 @@
 
 async fn start_cluster(case: &str, policy: UserPolicy) -> Result<Cluster> {
     let zones = ["a", "b", "c"].map(ZoneId::from);
-    let fleet = FleetConfig::new(&zones, 2, 4).with_unchecked(true);
+    let fleet = FleetConfig::new(&zones, 2, 4).with_unfenced_nodes(true);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
     let program = std::env::current_exe().context("the measurement knows its own program")?;
     let arguments: &[&str] =
@@ -165,7 +165,7 @@
     }
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     for (number, group) in policy.groups().iter().enumerate() {
         let reply = cluster.change("b1", &format!("group {number}"), group).await;
         ensure!(reply.status == 200, "a group was refused: {}", reply.body);
@@ -219,7 +219,7 @@
         "member_returns" => {
             cluster.fleet().kill(&members[1]);
             sample(cluster, wanted, second, sampled).await;
-            cluster.fleet().revive_unchanged(&members[1]);
+            cluster.fleet().restart_with_state(&members[1]);
         }
         "second_loss" => {
             cluster.fleet().kill(&members[0]);
--- a/crates/measure/src/requests.rs
+++ b/crates/measure/src/requests.rs
@@ -75,7 +75,7 @@
         .with_limits(json!({"streams": places}));
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 3,
         "count": count, "urgency": "urgent",
         "selector": {"match_labels": {"given": "hollowbarrow"}}}});
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -211,7 +211,7 @@
                 let Some(address) = self.fleet.address(&node) else { continue };
                 if self.config.proxies && self.fleet.zone(&node).as_ref() != Some(zone) {
                     let proxy = FaultProxy::start(address, seed);
-                    self.fleet.set_detour(zone, &node, proxy.address());
+                    self.fleet.override_address(zone, &node, proxy.address());
                     self.detours.insert((zone.clone(), node), proxy);
                 }
             }
@@ -246,7 +246,7 @@
                 "data": data.map(|data| data.to_string_lossy().into_owned()),
                 "peers": listed,
                 "cluster_keys": ["test-cluster-key-1"],
-                "platform": self.fleet.platform_url_from(zone),
+                "platform": self.fleet.platform_url_for(zone),
                 "organisations": [{"id": "campers", "keys": [{"sha256": keys::hash_key(CALLER_KEY)}],
                     "tokens_per_second": 10_000_000, "concurrent": 100_000}],
                 "operators": [{"name": "tests", "keys": [{"sha256": keys::hash_key(OPERATOR_KEY)}]}],
@@ -410,7 +410,13 @@
     }
 
     /// Asks a daemon's operators' interface.
-    pub async fn operate(&self, id: &str, method: Method, path: &str, body: &Value) -> CallReply {
+    pub async fn call_operator_api(
+        &self,
+        id: &str,
+        method: Method,
+        path: &str,
+        body: &Value,
+    ) -> CallReply {
         let address = self.daemons[self.position(id)].operators;
         let text = if body.is_null() { String::new() } else { body.to_string() };
         CallerCall::new(method, path, OPERATOR_KEY)
@@ -434,7 +440,7 @@
         let body = json!({"id": change_id, "author": "tests", "command": command});
         let begun = Instant::now();
         loop {
-            let reply = self.operate(id, Method::POST, "/changes", &body).await;
+            let reply = self.call_operator_api(id, Method::POST, "/changes", &body).await;
             let again = matches!(reply.status, 0 | 503 | 504);
             if !again || begun.elapsed() > PATIENCE {
                 return reply;
@@ -444,7 +450,7 @@
     }
 
     /// Gives all nodes to hollowbarrow.
-    pub async fn label_all(&self) {
+    pub async fn label_all_nodes(&self) {
         let first = self.ids()[0].clone();
         for node in self.fleet.model_nodes() {
             let command =
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -31,7 +31,7 @@
 const BLOCK_BYTES: usize = 256;
 
 /// Prompt that ends each model worker that begins to run it.
-pub const ENDING_PROMPT: &str = "end the worker";
+pub const CRASHING_PROMPT: &str = "end the worker";
 
 /// Times and limits of a stand-in model worker.
 #[derive(Clone, Debug)]
@@ -85,7 +85,7 @@
     weights: BTreeSet<String>,
     cache: VecDeque<u64>,
     /// Orders accepted while another owner's or a later one stood; must stay 0.
-    pub(crate) overridden: u32,
+    pub(crate) stale_orders_accepted: u32,
 }
 
 /// For how long a replica has lacked a member, none where all are up and hold its epoch.
@@ -115,7 +115,7 @@
             reported: (Instant::now(), 0),
             weights: BTreeSet::new(),
             cache: VecDeque::new(),
-            overridden: 0,
+            stale_orders_accepted: 0,
         }
     }
 
@@ -166,7 +166,7 @@
                 let refusal = OrderRefusal { epoch: state.epoch, owner };
                 return json_answer(StatusCode::CONFLICT, &refusal);
             }
-            state.overridden += 1;
+            state.stale_orders_accepted += 1;
         }
         let repeated = state.epoch == order.epoch && state.state != NodeState::Idle;
         if state.epoch != order.epoch {
@@ -224,7 +224,7 @@
         }
         let ticket = RunTicket::new(&self);
         self.note_run(&job);
-        if job.prompt.contains(ENDING_PROMPT)
+        if job.prompt.contains(CRASHING_PROMPT)
             && let Some(port) = self.port.get()
         {
             tokio::time::sleep(self.config.ending).await;
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -27,7 +27,7 @@
     /// Keeps connections but passes nothing on in either direction.
     Silence,
     /// Passes on only what the dialling side says.
-    SilenceAnswers,
+    BlackholeReplies,
     /// Holds each buffer back.
     Delay(Duration),
     /// Now and then changes a byte.
@@ -163,7 +163,7 @@
             Ok(length) => length,
         };
         let silent = |mode: &FaultMode| {
-            *mode == FaultMode::Silence || (answers && *mode == FaultMode::SilenceAnswers)
+            *mode == FaultMode::Silence || (answers && *mode == FaultMode::BlackholeReplies)
         };
         if watcher.wait_for(|mode| !silent(mode)).await.is_err() {
             break;
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -42,7 +42,7 @@
     });
     let mut replies = Vec::new();
     for (id, body) in &racers {
-        replies.push(cluster.operate(id, Method::POST, "/changes", body));
+        replies.push(cluster.call_operator_api(id, Method::POST, "/changes", body));
     }
     let replies = join_all(replies).await;
     let winners = replies.iter().filter(|reply| reply.status == 200).count();
@@ -111,7 +111,7 @@
     let other = cluster.ids().into_iter().find(|id| *id != leader).expect("there are nine");
     cluster.set_daemon_links(&leader, FaultMode::Silence);
     let lost = json!({"id": "lost", "author": "", "command": group("drafts", 1)});
-    let reply = cluster.operate(&leader, Method::POST, "/changes", &lost).await;
+    let reply = cluster.call_operator_api(&leader, Method::POST, "/changes", &lost).await;
     assert_ne!(reply.status, 200, "a leader without a majority accepted a change");
     let after = accepted(&cluster.change(&other, "after", &group("drafts", 0)).await);
     let status = cluster.read(&leader, "/status").await;
@@ -148,13 +148,13 @@
     let status = cluster.read("c0", "/status").await;
     assert!(status["fault"].as_str().is_some_and(|f| f.contains("replace this voter")), "{status}");
     let change = json!({"remove": "c0", "add": "c0"});
-    let mut replaced = cluster.operate("a1", Method::POST, "/voters", &change).await;
+    let mut replaced = cluster.call_operator_api("a1", Method::POST, "/voters", &change).await;
     for _ in 0..20 {
         if replaced.status == 200 {
             break;
         }
         pause(300).await;
-        replaced = cluster.operate("a1", Method::POST, "/voters", &change).await;
+        replaced = cluster.call_operator_api("a1", Method::POST, "/voters", &change).await;
     }
     assert_eq!(replaced.status, 200, "{}", replaced.body);
     let mut fault = json!("not read yet");
@@ -176,7 +176,9 @@
 async fn change_unknown_voter() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let reply = cluster.operate("a0", Method::POST, "/voters", &json!({"remove": "nobody"})).await;
+    let reply = cluster
+        .call_operator_api("a0", Method::POST, "/voters", &json!({"remove": "nobody"}))
+        .await;
     let fault: Value = serde_json::from_str(&reply.body).unwrap_or_default();
     assert_eq!((reply.status, &fault["faults"][0]["field"]), (422, &json!("remove")), "{fault}");
 }
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -18,7 +18,11 @@
         pause(300).await;
         assert!(cluster.wait_serving("b1", "drafts", 3).await, "{}", cluster.log("a0"));
     }
-    assert_eq!(cluster.fleet().overridden(), 0, "a node that does not check took a stale order");
+    assert_eq!(
+        cluster.fleet().stale_orders_accepted(),
+        0,
+        "a node that does not check took a stale order"
+    );
 }
 
 /// A killed leader, authority and voter: the rest goes on, and the daemon comes back whole.
@@ -70,7 +74,7 @@
     assert!(repaired, "zone c did not repair its group: {}", cluster.log("c0"));
     cluster.set_zone_links(&zone, FaultMode::Pass);
     assert!(cluster.wait_serving("a0", "drafts", 3).await);
-    assert_eq!(cluster.fleet().overridden(), 0);
+    assert_eq!(cluster.fleet().stale_orders_accepted(), 0);
 }
 
 /// A member that restarts as if nothing had happened does not slip back in.
@@ -82,7 +86,7 @@
     let member = NodeId::from(members[1].as_str());
     let before = cluster.read("a0", "/explain/drafts").await["replicas"][0]["epoch"].clone();
     cluster.fleet().kill(&member);
-    cluster.fleet().revive_unchanged(&member);
+    cluster.fleet().restart_with_state(&member);
     let mut after = before.clone();
     for _ in 0..200 {
         let replica = cluster.read("a0", "/explain/drafts").await["replicas"][0].clone();
@@ -105,7 +109,7 @@
     let streaming =
         tokio::spawn(async move { crate::requests::stream(address, "long", 400).await });
     pause(300).await;
-    cluster.fleet().list_as(&NodeId::from(members[0].as_str()), PlatformState::Leaving);
+    cluster.fleet().set_listed_state(&NodeId::from(members[0].as_str()), PlatformState::Leaving);
     let reply = streaming.await.expect("the stream's task ends");
     let (tokens, done) = reply.tokens();
     assert!(done && tokens.len() == 400, "{} tokens came, done {done}", tokens.len());
@@ -131,7 +135,7 @@
     for node in cluster.fleet().model_nodes().iter().filter(|node| node.contains("-d0-")) {
         cluster.fleet().seize(node, "other-half");
     }
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     cluster.change("a0", "put group", &crate::support::group("drafts", 6)).await;
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
     pause(1000).await;
