--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -14,57 +14,57 @@
 use tokio::sync::mpsc;
 
 /// Pieces of an answer that may wait for a slow caller.
-const BODY_PIECES: usize = 32;
+const BODY_CHANNEL_CAPACITY: usize = 32;
 
 /// An answer that ended before it was whole; the caller's connection is cut.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the answer broke off")]
-pub(crate) struct CutAnswerError;
+pub(crate) struct TruncatedAnswerError;
 
 /// Sends the pieces of an answer.
-pub(crate) type PieceSender = mpsc::Sender<Result<Bytes, CutAnswerError>>;
+pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedAnswerError>>;
 
 /// Body of an answer.
 pub(crate) enum AnswerBody {
     /// Everything is there.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// Pieces come over a channel; the answer is whole when the channel closes.
-    Pieces(mpsc::Receiver<Result<Bytes, CutAnswerError>>),
+    Chunks(mpsc::Receiver<Result<Bytes, TruncatedAnswerError>>),
 }
 
 impl AnswerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 
-    pub(crate) fn pieces() -> (PieceSender, Self) {
-        let (sender, receiver) = mpsc::channel(BODY_PIECES);
-        (sender, Self::Pieces(receiver))
+    pub(crate) fn chunks() -> (ChunkSender, Self) {
+        let (sender, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        (sender, Self::Chunks(receiver))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = CutAnswerError;
+    type Error = TruncatedAnswerError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutAnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswerError>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Chunks(receiver) => {
+                receiver.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
@@ -76,43 +76,43 @@
 #[derive(Debug)]
 pub(crate) struct CallerLink {
     answer: mpsc::Sender<CallerAnswer>,
-    given: AtomicBool,
-    pieces: OnceLock<PieceSender>,
+    answer_sent: AtomicBool,
+    chunks: OnceLock<ChunkSender>,
 }
 
 impl CallerLink {
     /// Creates a link and the receiver of its one answer.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CallerAnswer>) {
         let (answer, receiver) = mpsc::channel(1);
-        (Self { answer, given: AtomicBool::new(false), pieces: OnceLock::new() }, receiver)
+        (Self { answer, answer_sent: AtomicBool::new(false), chunks: OnceLock::new() }, receiver)
     }
 
     /// Gives the answer, unless one was given.
-    pub(crate) fn give(&self, answer: CallerAnswer) {
-        if !self.given.swap(true, Ordering::Relaxed) {
+    pub(crate) fn send_answer(&self, answer: CallerAnswer) {
+        if !self.answer_sent.swap(true, Ordering::Relaxed) {
             let _ = self.answer.try_send(answer);
         }
     }
 
     /// Gives an answer whose pieces follow.
     pub(crate) fn start(&self, head: hyper::http::response::Builder) {
-        let (sender, body) = AnswerBody::pieces();
-        if self.pieces.set(sender).is_ok() {
-            self.give(head.body(body).expect("the headers are valid"));
+        let (sender, body) = AnswerBody::chunks();
+        if self.chunks.set(sender).is_ok() {
+            self.send_answer(head.body(body).expect("the headers are valid"));
         }
     }
 
     /// The sender of pieces, once an answer was started.
-    pub(crate) fn pieces(&self) -> Option<&PieceSender> {
-        self.pieces.get()
+    pub(crate) fn chunks(&self) -> Option<&ChunkSender> {
+        self.chunks.get()
     }
 
     /// Waits until the caller has gone away before its answer was whole.
-    pub(crate) async fn abandoned(&self) {
+    pub(crate) async fn disconnected(&self) {
         self.answer.closed().await;
-        match self.pieces.get() {
-            Some(pieces) => pieces.closed().await,
-            None if self.given.load(Ordering::Relaxed) => std::future::pending().await,
+        match self.chunks.get() {
+            Some(chunks) => chunks.closed().await,
+            None if self.answer_sent.load(Ordering::Relaxed) => std::future::pending().await,
             None => {}
         }
     }
@@ -127,14 +127,14 @@
         /// Name, HTTP status and meaning of each error that callers can be told.
         pub fn error_catalogue() -> Vec<(&'static str, u16, String)> {
             vec![$({
-                let (status, name, _) = ErrorCode::$code.facts();
+                let (status, name, _) = ErrorCode::$code.details();
                 (name, status.as_u16(), [$($doc),*].concat().trim().to_owned())
             }),+]
         }
 
         impl ErrorCode {
             /// Status, stable name and type of the code.
-            fn facts(self) -> (StatusCode, &'static str, &'static str) {
+            fn details(self) -> (StatusCode, &'static str, &'static str) {
                 match self { $(Self::$code => ($status, $name, $kind),)+ }
             }
         }
@@ -159,9 +159,9 @@
     /// Upstreams exist but none may take requests now.
     NoUpstream = StatusCode::SERVICE_UNAVAILABLE, "no_upstream", "server_error";
     /// Upstreams have ended, one after the other, under this request.
-    EndsUpstreams = StatusCode::SERVICE_UNAVAILABLE, "ends_upstreams", "server_error";
+    CrashesUpstreams = StatusCode::SERVICE_UNAVAILABLE, "ends_upstreams", "server_error";
     /// Another copy of this request is under way, and nothing has come of it yet.
-    CopyUnderWay = StatusCode::SERVICE_UNAVAILABLE, "copy_under_way", "server_error";
+    DuplicateInFlight = StatusCode::SERVICE_UNAVAILABLE, "copy_under_way", "server_error";
     /// The organisation's limit is used up.
     LimitReached = StatusCode::TOO_MANY_REQUESTS, "limit_reached", "rate_limit_error";
     /// The queue of the request's class is full.
@@ -221,12 +221,12 @@
 
     /// Stable name of the code.
     pub(crate) fn name(&self) -> &'static str {
-        self.code.facts().1
+        self.code.details().1
     }
 
     /// The error as JSON.
     pub(crate) fn to_json(&self, request_id: &str) -> Vec<u8> {
-        let (_, code, kind) = self.code.facts();
+        let (_, code, kind) = self.code.details();
         let answer = ErrorAnswer {
             error: ErrorBody {
                 message: self.message.clone(),
@@ -242,7 +242,7 @@
 
     /// The error as an answer.
     pub(crate) fn to_answer(&self, request_id: &str) -> CallerAnswer {
-        let (status, ..) = self.code.facts();
+        let (status, ..) = self.code.details();
         let mut builder = Response::builder()
             .status(status)
             .header("content-type", "application/json")
@@ -252,6 +252,6 @@
             let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
             builder = builder.header("retry-after", seconds);
         }
-        builder.body(AnswerBody::whole(self.to_json(request_id))).expect("the headers are valid")
+        builder.body(AnswerBody::complete(self.to_json(request_id))).expect("the headers are valid")
     }
 }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -12,38 +12,38 @@
 use tokio::time::Instant;
 
 use crate::answer::{CallerError, CallerLink, ErrorCode};
+use crate::caller_request::{CallerRequest, RequestKind, headers};
 use crate::core::DaemonCore;
-use crate::facts::{CallerRequest, RequestKind, headers};
-use crate::permits::{HeldPermit, PermitWait, limit_name, note_limit};
+use crate::permits::{HeldPermit, PermitWait, limit_name, record_limit};
 use crate::refusals::{UPSTREAM_RETRY, to_backoff_error, to_limited_error, to_send_error};
-use crate::relay::{StreamRelay, read_whole};
+use crate::relay::{StreamRelay, read_complete_answer};
 use crate::routes::{RouteEntry, RouteTarget};
 use crate::telemetry::HopSpan;
 
 /// Pause before the upstreams are looked at again when none has room.
-const ROOM_PAUSE: Duration = Duration::from_millis(10);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What an attempt brought.
-pub(crate) enum Attempted {
+pub(crate) enum AttemptAnswer {
     /// The stream came whole and was passed on but for its end mark.
     Streamed,
     /// A whole answer.
-    Whole { status: StatusCode, content_type: String, body: Bytes },
+    Complete { status: StatusCode, content_type: String, body: Bytes },
 }
 
 /// Why an attempt brought nothing.
-pub(crate) enum AttemptEnd {
+pub(crate) enum AttemptError {
     /// An upstream failed.
     Failed(AttemptUpstreamError),
     /// There was none to try.
-    Nothing(CallerError),
+    NotAttempted(CallerError),
 }
 
 /// The upstream that was tried, if there was one, and what came of it.
-pub(crate) type AttemptResult = (Option<UpstreamKey>, Result<Attempted, AttemptEnd>);
+pub(crate) type AttemptResult = (Option<UpstreamKey>, Result<AttemptAnswer, AttemptError>);
 
 /// Makes an attempt at a plain call.
-pub(crate) async fn plain_attempt(
+pub(crate) async fn run_plain_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
     avoid: &[UpstreamKey],
@@ -52,11 +52,11 @@
     // A plain call is never streamed, so nothing goes over this link.
     let (link, _) = CallerLink::new();
     let mut relay = StreamRelay::new(&Arc::new(link), false);
-    attempt_once(core, request, &[], avoid, span, &mut relay, false).await
+    run_attempt(core, request, &[], avoid, span, &mut relay, false).await
 }
 
 /// Picks an upstream, sends the request and brings its answer.
-pub(crate) async fn attempt_once(
+pub(crate) async fn run_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
     blocks: &[u64],
@@ -68,19 +68,20 @@
     let pick_span = span.child("pick");
     let PickedUpstream { entry, permit } = match pick_upstream(core, request, blocks, avoid).await {
         Ok(picked) => picked,
-        Err(error) => return (None, Err(AttemptEnd::Nothing(error))),
+        Err(error) => return (None, Err(AttemptError::NotAttempted(error))),
     };
     drop(pick_span);
     let attempt_span = span.child("upstream");
     attempt_span.set("upstream", &entry.key.name);
     let key = entry.key.clone();
-    let tally = PickerTally::new(core, &key, blocks).with_permit(permit);
-    let sending = send_to_upstream(core, request, &entry, &attempt_span, relay, streamed, &tally);
+    let picker_guard = PickerGuard::new(core, &key, blocks).with_permit(permit);
+    let sending =
+        send_to_upstream(core, request, &entry, &attempt_span, relay, streamed, &picker_guard);
     let outcome = tokio::select! {
         outcome = sending => outcome,
         // The answer of a replica that lost a member will not come; only what may run again
         // is given up for that.
-        () = entry.lost(core), if !request.not_repeatable => {
+        () = entry.wait_until_lost(core), if !request.not_repeatable => {
             Err(AttemptUpstreamError::BrokenAnswer { reason: "the replica lost a member", tokens: 0 })
         }
     };
@@ -90,24 +91,24 @@
     if let Err(error) = &outcome {
         attempt_span.set("error", &error.to_string());
     }
-    drop(tally);
-    (Some(key), outcome.map_err(AttemptEnd::Failed))
+    drop(picker_guard);
+    (Some(key), outcome.map_err(AttemptError::Failed))
 }
 
 /// Counts an attempt at its upstream until it ends.
-pub(crate) struct PickerTally<'a> {
+pub(crate) struct PickerGuard<'a> {
     core: &'a DaemonCore,
     key: &'a UpstreamKey,
     started: Instant,
-    first: std::sync::OnceLock<Instant>,
+    first_byte_at: std::sync::OnceLock<Instant>,
     permit: Option<HeldPermit>,
 }
 
-impl<'a> PickerTally<'a> {
+impl<'a> PickerGuard<'a> {
     fn new(core: &'a DaemonCore, key: &'a UpstreamKey, blocks: &[u64]) -> Self {
         let started = Instant::now();
         core.picker().record_start(key, blocks, started);
-        Self { core, key, started, first: std::sync::OnceLock::new(), permit: None }
+        Self { core, key, started, first_byte_at: std::sync::OnceLock::new(), permit: None }
     }
 
     /// Sets what allows the attempt.
@@ -117,22 +118,23 @@
     }
 
     /// Notes that the request goes to the upstream.
-    fn note_sent(&self) {
+    fn record_sent(&self) {
         if let Some(permit) = &self.permit {
-            permit.note_sent();
+            permit.record_sent();
         }
     }
 
     /// Notes that the first byte of the answer came.
-    pub(crate) fn note_first(&self) {
-        let _ = self.first.set(Instant::now());
+    pub(crate) fn record_first_byte(&self) {
+        let _ = self.first_byte_at.set(Instant::now());
     }
 }
 
-impl Drop for PickerTally<'_> {
+impl Drop for PickerGuard<'_> {
     fn drop(&mut self) {
-        let first = self.first.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
-        self.core.picker().record_end(self.key, first, Instant::now());
+        let first_byte_at =
+            self.first_byte_at.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
+        self.core.picker().record_end(self.key, first_byte_at, Instant::now());
     }
 }
 
@@ -168,7 +170,7 @@
             open.collect::<Vec<RouteCandidate>>()
         };
         let backoff = drop_backed_off(core, &mut candidates, now);
-        let lacking = drop_lacking(core, &mut candidates, now);
+        let lacking = drop_without_permit(core, &mut candidates, now);
         if candidates.is_empty() && !lacking.is_empty() {
             permits.wait_for_any(&lacking).await.map_err(to_limited_error)?;
             continue;
@@ -179,10 +181,10 @@
                 None => no_upstream(core, request, entries),
             });
         }
-        need_ahead(core, &candidates, &lacking, now);
-        let fresh: Vec<RouteCandidate> =
+        sample_future_need(core, &candidates, &lacking, now);
+        let untried: Vec<RouteCandidate> =
             candidates.iter().filter(|c| !avoid.contains(&c.key)).cloned().collect();
-        let pool = if fresh.is_empty() { &candidates } else { &fresh };
+        let pool = if untried.is_empty() { &candidates } else { &untried };
         let choice = core.picker().pick(pool, blocks, &mut rand::rng());
         if let Some(choice) = choice
             && let Some(entry) = entries.iter().find(|entry| entry.key == choice.key)
@@ -190,12 +192,12 @@
             let permit = HeldPermit::take(core, &entry.key, now);
             return Ok(PickedUpstream { entry: entry.clone(), permit });
         }
-        tokio::time::sleep(ROOM_PAUSE).await;
+        tokio::time::sleep(CAPACITY_POLL_INTERVAL).await;
     }
 }
 
 /// Drops candidates that need a permit which is not there; their names.
-fn drop_lacking(
+fn drop_without_permit(
     core: &DaemonCore,
     candidates: &mut Vec<RouteCandidate>,
     now: Instant,
@@ -217,9 +219,14 @@
 }
 
 /// Notes the need of a permit of an upstream that lacks one as often as the request would go there.
-fn need_ahead(core: &DaemonCore, candidates: &[RouteCandidate], lacking: &[String], now: Instant) {
-    let drawn = rand::random_range(0..candidates.len() + lacking.len());
-    if let Some(name) = lacking.get(drawn) {
+fn sample_future_need(
+    core: &DaemonCore,
+    candidates: &[RouteCandidate],
+    lacking: &[String],
+    now: Instant,
+) {
+    let index = rand::random_range(0..candidates.len() + lacking.len());
+    if let Some(name) = lacking.get(index) {
         core.limits().record_future_need(name, PERMIT_LIFETIME, now);
     }
 }
@@ -243,11 +250,11 @@
 
 fn no_upstream(core: &DaemonCore, request: &CallerRequest, entries: &[RouteEntry]) -> CallerError {
     if let RequestKind::Completion { model, .. } = &request.kind {
-        let asked_for = core
+        let is_configured = core
             .config_log
             .read(|config| config.groups().values().any(|group| group.value.model == *model));
         // Callers do not ask again after a 404.
-        if entries.is_empty() && !asked_for && core.is_config_current(Instant::now()) {
+        if entries.is_empty() && !is_configured && core.is_config_current(Instant::now()) {
             let message = format!("no group or endpoint serves model {}", **model);
             return CallerError::not_run(ErrorCode::NoSuchModel, message).with_field("model");
         }
@@ -263,8 +270,8 @@
     span: &HopSpan,
     relay: &mut StreamRelay,
     streamed: bool,
-    tally: &PickerTally<'_>,
-) -> Result<Attempted, AttemptUpstreamError> {
+    picker_guard: &PickerGuard<'_>,
+) -> Result<AttemptAnswer, AttemptUpstreamError> {
     let reuse = !request.not_repeatable;
     let lease = core
         .client
@@ -277,19 +284,19 @@
     if now >= request.deadline {
         return Err(AttemptUpstreamError::DeadlinePassed { sent: false });
     }
-    if entry.until(&core.fleet(), now).is_none() {
+    if entry.usable_until(&core.fleet(), now).is_none() {
         return Err(AttemptUpstreamError::NotSent);
     }
     if core.backoffs().reason(&entry.key.name, now).is_some() {
         lease.give_back();
         return Err(AttemptUpstreamError::BackedOff);
     }
-    tally.note_sent();
+    picker_guard.record_sent();
     let answer =
         core.client.send(lease, &message, request.deadline).await.map_err(to_send_error)?;
-    tally.note_first();
-    note_limit(core, &entry.key, &answer.headers, now);
-    let backoff = note_backoff(core, &entry.key, &answer);
+    picker_guard.record_first_byte();
+    record_limit(core, &entry.key, &answer.headers, now);
+    let backoff = record_backoff_notice(core, &entry.key, &answer);
     let engine = matches!(entry.target, RouteTarget::Replica(_));
     if engine && is_refusal(answer.status) {
         return Err(AttemptUpstreamError::Refused {
@@ -305,13 +312,13 @@
         .get("content-type")
         .is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
     if streamed && event_stream {
-        return relay.run(core, request, answer).await.map(|()| Attempted::Streamed);
+        return relay.run(core, request, answer).await.map(|()| AttemptAnswer::Streamed);
     }
     if relay.has_started() {
         let reason = "the resumed answer is no stream";
         return Err(AttemptUpstreamError::BrokenAnswer { reason, tokens: 0 });
     }
-    read_whole(core, request, answer).await
+    read_complete_answer(core, request, answer).await
 }
 
 /// Statuses by which an engine says that it ran nothing, as the upstream protocol promises.
@@ -323,7 +330,11 @@
 }
 
 /// Notes for how long an upstream that turns requests away wants none, and returns that.
-fn note_backoff(core: &DaemonCore, key: &UpstreamKey, answer: &SentAnswer) -> Option<Duration> {
+fn record_backoff_notice(
+    core: &DaemonCore,
+    key: &UpstreamKey,
+    answer: &SentAnswer,
+) -> Option<Duration> {
     if !is_refusal(answer.status) {
         return None;
     }
@@ -348,10 +359,10 @@
     span: &HopSpan,
     relay: &StreamRelay,
 ) -> UpstreamRequest {
-    let mut passed = request.headers.clone();
+    let mut forwarded = request.headers.clone();
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::try_from(value) {
-            passed.insert(name, value);
+            forwarded.insert(name, value);
         }
     };
     let left = request.deadline.saturating_duration_since(Instant::now());
@@ -365,7 +376,7 @@
         request_id: request.id.clone(),
         method: request.method.clone(),
         target: request.target.clone(),
-        headers: passed,
+        headers: forwarded,
         body: relay.resume_body(request).unwrap_or_else(|| request.body.clone()),
         reuse: !request.not_repeatable,
     }
--- a/crates/daemon/src/facts.rs
+++ b/crates/daemon/src/caller_request.rs
@@ -158,20 +158,20 @@
         }
         RequestKind::Completion { .. } => (COMPLETION_TIMEOUT, Urgency::Normal, false),
     };
-    let asked = read_deadline(&parts.headers)?;
+    let requested = read_deadline(&parts.headers)?;
     let by_header = read_flag(&parts.headers, headers::NOT_REPEATABLE)?;
-    let cost = cost_of(&kind);
+    let cost = request_cost(&kind);
     Ok(CallerRequest {
         id: id.to_owned(),
         organisation,
         kind,
         method: parts.method.clone(),
         target,
-        headers: passed_headers(&parts),
+        headers: forwarded_headers(&parts),
         body,
         urgency: read_urgency(&parts.headers, urgency)?,
         received,
-        deadline: received + asked.unwrap_or(timeout),
+        deadline: received + requested.unwrap_or(timeout),
         key: read_key(&parts.headers)?,
         // Only a read can be repeatable on a route that is marked; a header may mark more, not less.
         not_repeatable: by_header || (by_route && !parts.method.is_safe()),
@@ -227,7 +227,7 @@
     Ok(RequestKind::Completion { model: ModelName(model), stream, body, prompt })
 }
 
-fn cost_of(kind: &RequestKind) -> f64 {
+fn request_cost(kind: &RequestKind) -> f64 {
     match kind {
         RequestKind::Plain(_) => 1.0,
         RequestKind::Completion { body, .. } => {
@@ -236,7 +236,7 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, CallerError> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, CallerError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     let once = values.next().is_none();
@@ -250,7 +250,7 @@
 }
 
 fn read_urgency(headers: &HeaderMap, default: Urgency) -> Result<Urgency, CallerError> {
-    let Some(value) = text(headers, headers::PRIORITY)? else { return Ok(default) };
+    let Some(value) = header_text(headers, headers::PRIORITY)? else { return Ok(default) };
     value.parse().map_err(|_| {
         let message = format!("{value:?} is none of urgent, normal and batch");
         CallerError::not_run(ErrorCode::BadRequest, message).with_field(headers::PRIORITY)
@@ -258,7 +258,7 @@
 }
 
 fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
-    let Some(value) = text(headers, headers::DEADLINE)? else { return Ok(None) };
+    let Some(value) = header_text(headers, headers::DEADLINE)? else { return Ok(None) };
     match value.parse() {
         Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(Some(Duration::from_millis(ms))),
         _ => {
@@ -269,7 +269,7 @@
 }
 
 fn read_flag(headers: &HeaderMap, name: &str) -> Result<bool, CallerError> {
-    match text(headers, name)? {
+    match header_text(headers, name)? {
         None | Some("false") => Ok(false),
         Some("true") => Ok(true),
         Some(other) => {
@@ -280,7 +280,7 @@
 }
 
 fn read_key(headers: &HeaderMap) -> Result<Option<String>, CallerError> {
-    let Some(key) = text(headers, headers::IDEMPOTENCY_KEY)? else { return Ok(None) };
+    let Some(key) = header_text(headers, headers::IDEMPOTENCY_KEY)? else { return Ok(None) };
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
         let message = format!("the key must have 1 to {MAX_KEY_BYTES} bytes");
         let error = CallerError::not_run(ErrorCode::BadRequest, message);
@@ -290,7 +290,7 @@
 }
 
 /// Headers to pass on: none about one connection, none of hollowbarrow's own, and no key.
-fn passed_headers(parts: &Parts) -> HeaderMap {
+fn forwarded_headers(parts: &Parts) -> HeaderMap {
     let named_by_connection: Vec<String> = parts
         .headers
         .get_all("connection")
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -20,9 +20,9 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::answer::{AnswerBody, CallerAnswer, CallerError, CallerLink, ErrorCode};
+use crate::caller_request::{authenticate, headers, read_request};
 use crate::core::DaemonCore;
 use crate::dispatch::run_request;
-use crate::facts::{authenticate, headers, read_request};
 use crate::telemetry::HopSpan;
 
 /// Largest head of a request.
@@ -41,15 +41,15 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let places = Arc::new(Semaphore::new(core.settings.limits.connections as usize));
+    let slots = Arc::new(Semaphore::new(core.settings.limits.connections as usize));
     loop {
-        let place = tokio::select! {
-            place = Arc::clone(&places).acquire_owned() => place,
-            () = told_to_stop(&mut stop) => return,
+        let slot = tokio::select! {
+            slot = Arc::clone(&slots).acquire_owned() => slot,
+            () = stop_requested(&mut stop) => return,
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => return,
+            () = stop_requested(&mut stop) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -60,12 +60,12 @@
         let stop = stop.clone();
         tokio::spawn(async move {
             serve_connection(core, stream, stop).await;
-            drop(place);
+            drop(slot);
         });
     }
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
+async fn stop_requested(stop: &mut watch::Receiver<bool>) {
     // An error means that the daemon is gone, which is as good as being told.
     let _ = stop.wait_for(|stop| *stop).await;
 }
@@ -89,7 +89,7 @@
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = told_to_stop(&mut stop) => {
+        () = stop_requested(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
@@ -103,11 +103,11 @@
         (&Method::GET, "/v1/models") => return list_models(&core, &request, &id),
         _ => {}
     }
-    let span = core.telemetry.start_door(&request, &id);
+    let span = core.telemetry.start_ingress_span(&request, &id);
     let checked = match read_request(&core.settings, &id, request).await {
         Ok(checked) => checked,
         Err(error) => {
-            core.telemetry.note_refused(&id, &error);
+            core.telemetry.record_refused(&id, &error);
             return error.to_answer(&id);
         }
     };
@@ -123,7 +123,7 @@
 
 async fn run_counted(
     core: Arc<DaemonCore>,
-    request: crate::facts::CallerRequest,
+    request: crate::caller_request::CallerRequest,
     link: CallerLink,
     span: HopSpan,
 ) {
@@ -141,18 +141,23 @@
 
 /// The caller's identity of the request if it has a usable one, else a fresh one.
 fn request_id(request: &Request<Incoming>) -> String {
-    let given = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
+    let supplied = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
     let usable = |id: &&str| {
         (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
     };
-    given.filter(usable).map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_owned)
+    supplied
+        .filter(usable)
+        .map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_owned)
 }
 
 fn ready_answer(core: &DaemonCore) -> CallerAnswer {
     let ready = core.ready.load(Ordering::Relaxed);
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let body = if ready { "ready\n" } else { "not ready\n" };
-    Response::builder().status(status).body(AnswerBody::whole(body)).expect("the answer is valid")
+    Response::builder()
+        .status(status)
+        .body(AnswerBody::complete(body))
+        .expect("the answer is valid")
 }
 
 fn list_models(core: &DaemonCore, request: &Request<Incoming>, id: &str) -> CallerAnswer {
@@ -168,6 +173,6 @@
     Response::builder()
         .header("content-type", "application/json")
         .header("x-request-id", id)
-        .body(AnswerBody::whole(body))
+        .body(AnswerBody::complete(body))
         .expect("the answer is valid")
 }
--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -18,7 +18,7 @@
 /// How long an outcome is brought to the log in the background.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Longest time that a caller's answer waits for the outcome to be recorded.
-const RECORD_PATIENCE: Duration = Duration::from_secs(1);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time beyond the deadline after which an unfinished claim counts as unknown.
 const CLAIM_GRACE: Duration = Duration::from_secs(5);
 /// Bytes of the digest that names a claim; no two keys will ever share 128 bits.
@@ -123,7 +123,7 @@
             let deadline = Instant::now() + CLOSE_TIMEOUT;
             core.propose_claim(ClaimCommand::Close(close), deadline).await
         });
-        let _ = tokio::time::timeout(RECORD_PATIENCE, recording).await;
+        let _ = tokio::time::timeout(RECORD_TIMEOUT, recording).await;
     }
 }
 
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -27,7 +27,7 @@
 
 /// Election times for which the leader's word on the configuration holds. A daemon that does not
 /// vote hears it once in each; five are a third of the time in which a change has to be in force.
-const WORD_ELECTIONS: u64 = 5;
+const CONFIRMATION_ELECTIONS: u64 = 5;
 
 /// Shared state of a daemon.
 ///
@@ -54,11 +54,11 @@
     /// What this daemon issues of them while it leads.
     pub(crate) limit_coordinator: Mutex<LimitCoordinator>,
     /// Told when a request waits for a permit.
-    pub(crate) permits_wanted: Notify,
+    pub(crate) permit_requested: Notify,
     /// Told when the issuer of permits has answered.
-    pub(crate) permits_came: Notify,
+    pub(crate) permits_granted: Notify,
     /// Copies of requests that nobody has seen answered.
-    pub(crate) copies: DuplicateGate,
+    pub(crate) duplicates: DuplicateGate,
     pub(crate) client: UpstreamClient,
     pub(crate) engine: HttpEngine,
     pub(crate) telemetry: Telemetry,
@@ -81,8 +81,8 @@
 
     /// Region of this daemon's availability zone.
     pub(crate) fn region(&self) -> &str {
-        let own = self.settings.peers.iter().find(|peer| peer.id == self.settings.id);
-        own.map_or("", |peer| peer.region.as_str())
+        let local = self.settings.peers.iter().find(|peer| peer.id == self.settings.id);
+        local.map_or("", |peer| peer.region.as_str())
     }
 
     pub(crate) fn lease(&self) -> Duration {
@@ -107,26 +107,26 @@
     }
 
     /// For how long a request is to be sent to no upstream; none where it may be.
-    pub(crate) fn hold_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
+    pub(crate) fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         let over = match self.crashes().quarantine_state(request, now)? {
             QuarantineState::Active(left) => return Some(left),
             QuarantineState::Expired(over) => over,
         };
-        let own = xxh3_64(self.id().as_bytes());
+        let local = xxh3_64(self.id().as_bytes());
         let window = now.saturating_duration_since(self.started).as_secs();
-        probe_delay(own, request, window, self.daemons(), over)
+        probe_delay(local, request, window, self.daemons(), over)
     }
 
     /// Whether the configuration here holds all that has to be in force.
     pub(crate) fn is_config_current(&self, now: Instant) -> bool {
         let view = self.config_log.view();
-        let facts = ConfigFreshness {
+        let freshness = ConfigFreshness {
             version: *view.applied,
             known: *view.applied,
             confirmation_age: view.complete.map(|at| now.saturating_duration_since(at)),
         };
-        let trust = WORD_ELECTIONS * self.settings.timing.election_ms;
-        facts.is_current(Duration::from_millis(trust))
+        let max_age = CONFIRMATION_ELECTIONS * self.settings.timing.election_ms;
+        freshness.is_current(Duration::from_millis(max_age))
     }
 
     /// Upstreams that want no requests from this daemon.
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -27,14 +27,14 @@
 use crate::callers::serve_callers;
 use crate::claims::sweep_claims;
 use crate::core::DaemonCore;
-use crate::digest::{send_digests, take_digest};
+use crate::digest::{handle_digest, send_digests};
 use crate::fleet::FleetView;
 use crate::observer::{probe_nodes, watch_platform};
 use crate::operator::serve_operators;
-use crate::permits::{keep_permits, take_ask, take_grant};
-use crate::quota::keep_quotas;
+use crate::permits::{handle_permit_ask, handle_permit_grant, maintain_permits};
+use crate::quota::maintain_quotas;
 use crate::telemetry::Telemetry;
-use crate::zone_authority::{take_authority, with_authority};
+use crate::zone_authority::{handle_authority_message, with_authority};
 use crate::zone_control::control_zones;
 
 /// Prompt blocks whose holders are remembered.
@@ -42,11 +42,11 @@
 /// Callers that may wait to be accepted.
 const CALLER_BACKLOG: u32 = 4096;
 /// Pause between two tidyings of the picker's counts.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause between two looks at what is still in flight while stopping.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 /// Time for handed-over roles to be taken up before the daemon goes.
-const HAND_OVER_PAUSE: Duration = Duration::from_millis(200);
+const HAND_OVER_WAIT: Duration = Duration::from_millis(200);
 
 /// Why a daemon could not start.
 #[derive(Debug, Error)]
@@ -197,11 +197,11 @@
         tokio::spawn(probe_nodes(Arc::clone(&core)));
         tokio::spawn(send_digests(Arc::clone(&core)));
         tokio::spawn(control_zones(Arc::clone(&core)));
-        tokio::spawn(keep_quotas(Arc::clone(&core)));
+        tokio::spawn(maintain_quotas(Arc::clone(&core)));
         tokio::spawn(sweep_claims(Arc::clone(&core)));
         tokio::spawn(follow_config(Arc::clone(&core)));
-        tokio::spawn(tidy_picker(Arc::clone(&core)));
-        tokio::spawn(keep_permits(Arc::clone(&core)));
+        tokio::spawn(prune_upstream_state(Arc::clone(&core)));
+        tokio::spawn(maintain_permits(Arc::clone(&core)));
         tokio::spawn(serve_callers(Arc::clone(&core), listeners.callers, stopped));
         core.ready.store(true, Ordering::Relaxed);
         log::info!(
@@ -242,7 +242,7 @@
         while core.in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < limit {
             tokio::time::sleep(DRAIN_POLL).await;
         }
-        tokio::time::sleep(HAND_OVER_PAUSE).await;
+        tokio::time::sleep(HAND_OVER_WAIT).await;
         core.config_log.stop();
         core.claims_log.stop();
         core.telemetry.flush();
@@ -282,9 +282,9 @@
         backoffs: Mutex::new(BackoffTable::new()),
         limits: Mutex::new(UpstreamLimits::new(rand::random())),
         limit_coordinator: Mutex::default(),
-        permits_wanted: Notify::new(),
-        permits_came: Notify::new(),
-        copies: DuplicateGate::new(),
+        permit_requested: Notify::new(),
+        permits_granted: Notify::new(),
+        duplicates: DuplicateGate::new(),
         client: UpstreamClient::new(),
         engine: HttpEngine::new(),
         telemetry,
@@ -335,34 +335,34 @@
             .with_drift_permille(settings.timing.drift_permille);
         let store = settings.data.as_ref().map(|data| {
             let path = Path::new(data).join(format!("table-{}", **zone));
-            Box::new(FileTable { path }) as Box<dyn TableStore>
+            Box::new(FileTableStore { path }) as Box<dyn TableStore>
         });
         // A witness stands only when the zone's own daemons have had their chance.
-        let spread = if *zone == settings.zone { 0.0 } else { 1.0 };
-        let jitter = (spread + rand::random::<f64>()) / 2.0;
+        let delay = if *zone == settings.zone { 0.0 } else { 1.0 };
+        let jitter = (delay + rand::random::<f64>()) / 2.0;
         authorities.insert(zone.clone(), AuthorityMember::new(config, store, jitter, now));
     }
     authorities
 }
 
 /// Keeps a zone's table in a file.
-struct FileTable {
+struct FileTableStore {
     path: std::path::PathBuf,
 }
 
-impl TableStore for FileTable {
+impl TableStore for FileTableStore {
     fn load(&mut self) -> Option<ZoneTable> {
         serde_json::from_slice(&std::fs::read(&self.path).ok()?).ok()
     }
 
     fn save(&mut self, table: &ZoneTable) -> bool {
         let saved = || -> std::io::Result<()> {
-            let fresh = self.path.with_extension("new");
+            let temporary = self.path.with_extension("new");
             let bytes = serde_json::to_vec(table)?;
-            let mut file = std::fs::File::create(&fresh)?;
+            let mut file = std::fs::File::create(&temporary)?;
             std::io::Write::write_all(&mut file, &bytes)?;
             file.sync_all()?;
-            std::fs::rename(&fresh, &self.path)?;
+            std::fs::rename(&temporary, &self.path)?;
             let folder = self.path.parent().unwrap_or(&self.path);
             std::fs::File::open(folder)?.sync_all()
         };
@@ -385,17 +385,17 @@
     let handler_core = Arc::downgrade(core);
     let mesh = PeerMesh::start(config, listener, move |from, message| {
         if let Some(core) = handler_core.upgrade() {
-            take_message(&core, from, message);
+            handle_message(&core, from, message);
         }
     })?;
     let _ = core.mesh.set(mesh);
     Ok(())
 }
 
-fn take_message(core: &Arc<DaemonCore>, from: &DaemonId, message: PeerMessage) {
+fn handle_message(core: &Arc<DaemonCore>, from: &DaemonId, message: PeerMessage) {
     match message {
-        PeerMessage::Fleet(FleetMessage::PermitAsk(ask)) => take_ask(core, from, &ask),
-        PeerMessage::Fleet(FleetMessage::PermitGrant(grant)) => take_grant(core, &grant),
+        PeerMessage::Fleet(FleetMessage::PermitAsk(ask)) => handle_permit_ask(core, from, &ask),
+        PeerMessage::Fleet(FleetMessage::PermitGrant(grant)) => handle_permit_grant(core, &grant),
         // Gateways and controllers form clusters of their own.
         PeerMessage::Fleet(_) => log::debug!("event=message_refused peer={}", **from),
         PeerMessage::Log { name: LogName::Config, message } => {
@@ -404,12 +404,14 @@
         PeerMessage::Log { name: LogName::Claims, message } => {
             core.claims_log.deliver(from, message);
         }
-        PeerMessage::Authority { zone, message } => take_authority(core, from, &zone, message),
-        PeerMessage::Digest(digest) => take_digest(core, from, digest),
+        PeerMessage::Authority { zone, message } => {
+            handle_authority_message(core, from, &zone, message)
+        }
+        PeerMessage::Digest(digest) => handle_digest(core, from, digest),
         PeerMessage::Call(call) => {
             let core = Arc::clone(core);
             let from = from.clone();
-            tokio::spawn(async move { core.answer_call(from, call).await });
+            tokio::spawn(async move { core.handle_call(from, call).await });
         }
         PeerMessage::Reply(reply) => core.pending.resolve(reply),
     }
@@ -429,13 +431,13 @@
 }
 
 /// Drops counts of upstreams that nothing depends on any more.
-async fn tidy_picker(core: Arc<DaemonCore>) {
+async fn prune_upstream_state(core: Arc<DaemonCore>) {
     loop {
-        tokio::time::sleep(TIDY_INTERVAL).await;
+        tokio::time::sleep(PRUNE_INTERVAL).await;
         let routes = core.routes();
         if let Some(oldest) = Instant::now().checked_sub(core.lease() * 2) {
             core.picker().prune(oldest, |key| routes.contains(key));
-            core.backoffs().prune(|name| routes.names(name), Instant::now());
+            core.backoffs().prune(|name| routes.has_name(name), Instant::now());
             core.limits().prune(|name| routes.limit_names().any(|known| known == name));
         }
     }
--- a/crates/daemon/src/digest.rs
+++ b/crates/daemon/src/digest.rs
@@ -27,7 +27,7 @@
 use crate::zone_demand::zone_capacity;
 
 /// A daemon that has nothing to tell greets once in this many rounds.
-const GREETING_ROUNDS: u64 = 4;
+const KEEPALIVE_ROUNDS: u64 = 4;
 
 /// Sends digests at an even pace.
 pub(crate) async fn send_digests(core: Arc<DaemonCore>) {
@@ -38,18 +38,21 @@
         let observed = nodes_to_probe(&core);
         let crashes = core.crashes().due(Instant::now());
         for peer in digest_targets(&core) {
-            let digest =
-                ObserverDigest { crashes: crashes.clone(), ..compose(&core, peer, &observed) };
+            let digest = ObserverDigest {
+                crashes: crashes.clone(),
+                ..compose_digest(&core, peer, &observed)
+            };
             // A greeting only keeps an echo alive, and an echo ages without harm.
-            let greets = round.is_multiple_of(GREETING_ROUNDS) || round < 2 * GREETING_ROUNDS;
-            if greets || tells_something(&digest) {
+            let is_keepalive =
+                round.is_multiple_of(KEEPALIVE_ROUNDS) || round < 2 * KEEPALIVE_ROUNDS;
+            if is_keepalive || has_content(&digest) {
                 core.send(&peer.id, PeerMessage::Digest(digest));
             }
         }
     }
 }
 
-fn tells_something(digest: &ObserverDigest) -> bool {
+fn has_content(digest: &ObserverDigest) -> bool {
     !digest.nodes.is_empty()
         || !digest.replicas.is_empty()
         || digest.set.digest != 0
@@ -62,14 +65,14 @@
 /// Daemons that are to hear from this one.
 fn digest_targets(core: &DaemonCore) -> Vec<&PeerSettings> {
     let leader = core.config_log.view().leader;
-    let own_members = core.zone_members(core.zone());
+    let local_members = core.zone_members(core.zone());
     let region = core.region();
     let fleet = core.fleet();
     let peers = core.settings.peers.iter().filter(|peer| peer.id != *core.id());
     peers
         .filter(|peer| {
             let near = peer.region == region;
-            own_members.contains(&peer.id)
+            local_members.contains(&peer.id)
                 || leader.as_ref() == Some(&peer.id)
                 || (near && is_reporter(core, &fleet, (core.id(), core.zone()), &peer.id))
                 || (near && is_reporter(core, &fleet, (&peer.id, &peer.zone), core.id()))
@@ -77,46 +80,47 @@
         .collect()
 }
 
-fn compose(core: &DaemonCore, to: &PeerSettings, observed: &[NodeId]) -> ObserverDigest {
+fn compose_digest(core: &DaemonCore, to: &PeerSettings, observed: &[NodeId]) -> ObserverDigest {
     let now = Instant::now();
-    let leads = core.config_log.view().leader.as_ref() == Some(&to.id);
+    let to_leader = core.config_log.view().leader.as_ref() == Some(&to.id);
     let (applied, capacity) =
-        if leads { zone_capacity(core, now) } else { (LogIndex(0), Vec::new()) };
+        if to_leader { zone_capacity(core, now) } else { (LogIndex(0), Vec::new()) };
     let fleet = core.fleet();
     let peer = fleet.peers.get(&to.id);
-    let held = peer.map_or(Duration::ZERO, |peer| now.saturating_duration_since(peer.heard));
-    let own_zone = core.zone();
-    let follows_nodes = core.zone_members(own_zone).contains(&to.id);
-    let reports = !follows_nodes
+    let held =
+        peer.map_or(Duration::ZERO, |peer| now.saturating_duration_since(peer.last_received));
+    let local_zone = core.zone();
+    let observes_nodes = core.zone_members(local_zone).contains(&to.id);
+    let reports = !observes_nodes
         && to.region == core.region()
-        && is_reporter(core, &fleet, (core.id(), own_zone), &to.id);
+        && is_reporter(core, &fleet, (core.id(), local_zone), &to.id);
     let nodes =
-        if follows_nodes { fleet.leases.to_digests(observed.iter(), now) } else { Vec::new() };
-    let replicas = if reports { report_replicas(&fleet, own_zone, now) } else { Vec::new() };
+        if observes_nodes { fleet.leases.to_digests(observed.iter(), now) } else { Vec::new() };
+    let replicas = if reports { report_replicas(&fleet, local_zone, now) } else { Vec::new() };
     let known = peer.map_or(0, |peer| peer.known_set);
-    let (set, replicas) = name_fresh(replicas, known, core.lease());
-    let lately = |at: &Instant| now.saturating_duration_since(*at) < core.lease() * 2;
+    let (set, replicas) = compress_replicas(replicas, known, core.lease());
+    let recent = |at: &Instant| now.saturating_duration_since(*at) < core.lease() * 2;
     let gone: Vec<GoneDigest> = fleet
         .gone
         .iter()
-        .filter(|(_, at)| follows_nodes && lately(at))
+        .filter(|(_, at)| observes_nodes && recent(at))
         .map(|(id, at)| {
             let age = now.saturating_duration_since(*at).as_millis() + 1;
             GoneDigest { n: id.clone(), a: u32::try_from(age).unwrap_or(u32::MAX) }
         })
         .collect();
     let (speaks_for, use_) = if reports {
-        core.limiter.zone_demand(own_zone, &to.id, now)
+        core.limiter.zone_demand(local_zone, &to.id, now)
     } else {
         (1, core.limiter.demand(now))
     };
     let zone = &to.zone;
-    let own_rank = fleet.table_rank(own_zone);
-    let wants_table = peer.is_some_and(|peer| peer.table_rank < own_rank);
-    let their_rank = fleet.table_rank(zone);
+    let local_precedence = fleet.table_precedence(local_zone);
+    let wants_table = peer.is_some_and(|peer| peer.table_precedence < local_precedence);
+    let receiver_precedence = fleet.table_precedence(zone);
     ObserverDigest {
         sent: clock_ms(core, now),
-        echo: peer.map(|peer| peer.stamp),
+        echo: peer.map(|peer| peer.sender_clock_ms),
         held: u32::try_from(held.as_millis()).unwrap_or(u32::MAX),
         nodes,
         replicas,
@@ -125,9 +129,9 @@
         gone,
         speaks_for,
         use_,
-        table: if wants_table { fleet.tables.get(own_zone).cloned() } else { None },
-        table_term: Term(their_rank.0),
-        table_version: their_rank.1,
+        table: if wants_table { fleet.tables.get(local_zone).cloned() } else { None },
+        table_term: Term(receiver_precedence.0),
+        table_version: receiver_precedence.1,
         applied,
         capacity,
         crashes: Vec::new(),
@@ -136,7 +140,7 @@
 
 /// Names the replicas that are fresh together, in place of listing them, where the receiver
 /// keeps their list; the others are listed.
-fn name_fresh(
+fn compress_replicas(
     replicas: Vec<ReplicaDigest>,
     known: u64,
     lease: Duration,
@@ -145,7 +149,7 @@
     let fresh_ms = u32::try_from(lease.as_millis() / 2).unwrap_or(u32::MAX);
     let (fresh, stale): (Vec<_>, Vec<_>) =
         replicas.into_iter().partition(|replica| replica.a <= fresh_ms);
-    let digest = digest_set(&fresh);
+    let digest = hash_replica_set(&fresh);
     let oldest = fresh.iter().map(|replica| replica.a).max().unwrap_or(0);
     if digest == known {
         let loads = fresh.iter().map(|r| u16::try_from(r.l).unwrap_or(u16::MAX)).collect();
@@ -156,17 +160,17 @@
 }
 
 /// Digest of heads and epochs in order, 0 for none.
-fn digest_set(replicas: &[ReplicaDigest]) -> u64 {
-    replicas.iter().fold(0, extend_digest)
+fn hash_replica_set(replicas: &[ReplicaDigest]) -> u64 {
+    replicas.iter().fold(0, extend_set_hash)
 }
 
-fn extend_digest(digest: u64, replica: &ReplicaDigest) -> u64 {
+fn extend_set_hash(digest: u64, replica: &ReplicaDigest) -> u64 {
     let text = format!("{}/{}", *replica.h, *replica.e);
     xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), digest).max(1)
 }
 
 /// Writes a named set out again, with the list that was kept of it.
-pub(crate) fn list_set(set: &ReplicaSet, kept: &ListedSet) -> Vec<ReplicaDigest> {
+pub(crate) fn expand_set(set: &ReplicaSet, kept: &ListedSet) -> Vec<ReplicaDigest> {
     if set.digest == 0 || set.digest != kept.digest || set.loads.len() != kept.replicas.len() {
         return Vec::new();
     }
@@ -182,11 +186,11 @@
 }
 
 /// The list of a set that came in full, to be kept.
-pub(crate) fn keep_set(set: &ReplicaSet, listed: &[ReplicaDigest]) -> Option<ListedSet> {
+pub(crate) fn extract_set(set: &ReplicaSet, listed: &[ReplicaDigest]) -> Option<ListedSet> {
     // The fresh ones come first; how many they are shows where the digest fits.
     let mut digest = 0;
     let count = listed.iter().position(|replica| {
-        digest = extend_digest(digest, replica);
+        digest = extend_set_hash(digest, replica);
         digest == set.digest
     })?;
     let fresh = listed[..=count].iter().map(|replica| (replica.h.clone(), replica.e));
@@ -214,25 +218,27 @@
     let (id, zone) = reporter;
     let now = Instant::now();
     let within = core.lease() * 2;
-    let knows = zone == core.zone();
+    let is_local = zone == core.zone();
     let members: Vec<&DaemonId> = members_without_witness(zone, &core.settings.peers)
         .into_iter()
         .map(|peer| &peer.id)
-        .filter(|member| *member == core.id() || !knows || fleet.is_heard(member, within, now))
+        .filter(|member| {
+            *member == core.id() || !is_local || fleet.has_reported(member, within, now)
+        })
         .collect();
     // Who greets from another zone cannot know which members are silent, so it greets all of
     // those that might report to it.
-    let wanted = choose_observers(&NodeId(to.to_string()), &members);
-    wanted.contains(&id) || (!knows && members.contains(&id))
+    let chosen = choose_observers(&NodeId(to.to_string()), &members);
+    chosen.contains(&id) || (!is_local && members.contains(&id))
 }
 
 /// Takes a digest that came.
-pub(crate) fn take_digest(core: &DaemonCore, from: &DaemonId, digest: ObserverDigest) {
+pub(crate) fn handle_digest(core: &DaemonCore, from: &DaemonId, digest: ObserverDigest) {
     let now = Instant::now();
     let Some(peer) = core.settings.peers.iter().find(|peer| peer.id == *from) else { return };
     core.crashes().merge(&digest.crashes, now);
-    let speaker = if digest.speaks_for > 1 { peer.zone.as_str() } else { from.as_str() };
-    core.limiter.record_demand(speaker, &peer.zone, digest.speaks_for, &digest.use_, now);
+    let source = if digest.speaks_for > 1 { peer.zone.as_str() } else { from.as_str() };
+    core.limiter.record_demand(source, &peer.zone, digest.speaks_for, &digest.use_, now);
     // An echo from the future can only be a fault, and must not lengthen a lease.
     let base = digest.echo.map(|echo| (core.started + Duration::from_millis(echo)).min(now));
     if let Some(table) = &digest.table
@@ -240,7 +246,7 @@
     {
         member.offer_table(table);
     }
-    let changed = core.fleet_mut().take_digest((from, &peer.zone), digest, base, now);
+    let changed = core.fleet_mut().record_digest((from, &peer.zone), digest, base, now);
     if changed {
         core.rebuild_routes();
     }
--- a/crates/daemon/src/dispatch.rs
+++ b/crates/daemon/src/dispatch.rs
@@ -15,29 +15,29 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::answer::{AnswerBody, CallerAnswer, CallerError, CallerLink};
-use crate::attempt::{AttemptEnd, Attempted, attempt_once, plain_attempt};
+use crate::attempt::{AttemptAnswer, AttemptError, run_attempt, run_plain_attempt};
+use crate::caller_request::{CallerRequest, RequestKind};
 use crate::claims::{ClaimIdentity, HeldClaim};
 use crate::core::DaemonCore;
-use crate::facts::{CallerRequest, RequestKind};
 use crate::refusals::{
-    to_attempt_error, to_claim_error, to_copy_error, to_held_error, to_limit_error,
-    to_propose_error, to_shed_error,
+    to_attempt_error, to_claim_error, to_duplicate_error, to_limit_error, to_propose_error,
+    to_quarantine_error, to_shed_error,
 };
 use crate::relay::StreamRelay;
 use crate::telemetry::HopSpan;
 
 /// Longest time for which a copy of a request waits for what comes of another one: a replica that
 /// works reads a prompt in less.
-const COPY_WAIT: Duration = Duration::from_secs(2);
+const DUPLICATE_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Whether a copy of a request may go.
-enum CopyEntry {
+enum DuplicateEntry {
     /// It may.
     Entered(DuplicateTicket),
     /// Nothing came of another copy for too long.
     WaitedTooLong,
     /// Its caller has gone away meanwhile.
-    Abandoned,
+    Disconnected,
 }
 
 /// How a request ended, for logs and metrics.
@@ -99,7 +99,7 @@
     };
     let end = run.admit_and_run().await;
     let core = Arc::clone(&run.core);
-    core.telemetry.note_end(&run, &end);
+    core.telemetry.record_end(&run, &end);
 }
 
 impl RequestRun {
@@ -121,16 +121,16 @@
         );
         let entered = tokio::select! {
             entered = entering => entered,
-            () = self.link.abandoned() => return self.end("cancelled", Some(ErrorRan::NotRun)),
+            () = self.link.disconnected() => return self.end("cancelled", Some(ErrorRan::NotRun)),
         };
         drop(queue_span);
-        core.telemetry.note_queued(self.request.urgency, now.elapsed());
-        let place = match entered {
-            Ok(place) => place,
+        core.telemetry.record_queue_time(self.request.urgency, now.elapsed());
+        let slot = match entered {
+            Ok(slot) => slot,
             Err(error) => return self.refuse(&to_shed_error(&error)),
         };
         let end = self.run_claimed().await;
-        drop(place);
+        drop(slot);
         drop(limit);
         end
     }
@@ -155,28 +155,28 @@
     }
 
     /// Waits until this copy of the request may go.
-    async fn enter_copy(&self) -> CopyEntry {
+    async fn enter_duplicate_gate(&self) -> DuplicateEntry {
         let answered = self.core.crashes().was_answered(self.digest);
-        let limit = self.request.deadline.min(Instant::now() + COPY_WAIT);
+        let limit = self.request.deadline.min(Instant::now() + DUPLICATE_WAIT_TIMEOUT);
         tokio::select! {
-            entered = self.core.copies.enter(self.digest, answered, limit) => {
-                entered.map_or(CopyEntry::WaitedTooLong, CopyEntry::Entered)
+            entered = self.core.duplicates.enter(self.digest, answered, limit) => {
+                entered.map_or(DuplicateEntry::WaitedTooLong, DuplicateEntry::Entered)
             }
-            () = self.link.abandoned() => CopyEntry::Abandoned,
+            () = self.link.disconnected() => DuplicateEntry::Disconnected,
         }
     }
 
     /// Runs the request as one of its copies.
     async fn run(&mut self, claim: Option<HeldClaim>) -> RequestEnd {
-        let copy = match self.enter_copy().await {
-            CopyEntry::Entered(copy) => Arc::new(copy),
+        let duplicate = match self.enter_duplicate_gate().await {
+            DuplicateEntry::Entered(duplicate) => Arc::new(duplicate),
             end => {
                 if let Some(held) = claim {
                     self.core.release_claim(held);
                 }
                 return match end {
-                    CopyEntry::Abandoned => self.end("cancelled", Some(ErrorRan::NotRun)),
-                    _ => self.refuse(&to_copy_error()),
+                    DuplicateEntry::Disconnected => self.end("cancelled", Some(ErrorRan::NotRun)),
+                    _ => self.refuse(&to_duplicate_error()),
                 };
             }
         };
@@ -185,31 +185,31 @@
             && !self.request.not_repeatable
             && self.request.method.is_safe()
         {
-            return self.run_hedged(Duration::from_millis(hedge_ms), &copy).await;
+            return self.run_hedged(Duration::from_millis(hedge_ms), &duplicate).await;
         }
-        self.run_attempts(claim, &copy).await
+        self.run_attempts(claim, &duplicate).await
     }
 
     /// Tries upstreams in turn for as long as that is safe.
     async fn run_attempts(
         &mut self,
         claim: Option<HeldClaim>,
-        copy: &Arc<DuplicateTicket>,
+        duplicate: &Arc<DuplicateTicket>,
     ) -> RequestEnd {
         self.core.budget.record_request();
         let streamed = matches!(self.request.kind, RequestKind::Completion { stream: true, .. });
-        let mut relay = StreamRelay::new(&self.link, claim.is_some()).with_copy(copy);
+        let mut relay = StreamRelay::new(&self.link, claim.is_some()).with_duplicate(duplicate);
         loop {
             // Looked up before each attempt: another one may end the next replica.
             let sent = Instant::now();
-            let held = self.core.hold_left(self.digest, sent);
+            let held = self.core.quarantine_left(self.digest, sent);
             if let Some(left) = held {
                 let ran = if self.may_have_run { ErrorRan::Unknown } else { ErrorRan::NotRun };
                 self.settle_failed_claim(claim, ran).await;
-                return self.fail(&to_held_error(left), &mut relay).await;
+                return self.fail(&to_quarantine_error(left), &mut relay).await;
             }
             self.attempts += 1;
-            let attempt = attempt_once(
+            let attempt = run_attempt(
                 &self.core,
                 &self.request,
                 &self.blocks,
@@ -218,11 +218,11 @@
                 &mut relay,
                 streamed,
             );
-            let watched = self.link.abandoned();
+            let disconnected = self.link.disconnected();
             let tried = tokio::select! {
                 tried = attempt => tried,
                 // Dropping the attempt closes its connection, which cancels the upstream.
-                () = watched, if !self.request.not_repeatable => {
+                () = disconnected, if !self.request.not_repeatable => {
                     return self.end("cancelled", Some(ErrorRan::Unknown));
                 }
             };
@@ -233,8 +233,8 @@
             }
             let error = match outcome {
                 Ok(answer) => return self.finish(answer, &mut relay, claim).await,
-                Err(AttemptEnd::Failed(error)) => error,
-                Err(AttemptEnd::Nothing(error)) => {
+                Err(AttemptError::Failed(error)) => error,
+                Err(AttemptError::NotAttempted(error)) => {
                     if let Some(held) = claim {
                         self.core.release_claim(held);
                     }
@@ -242,7 +242,7 @@
                 }
             };
             self.may_have_run |= error.ran() != ErrorRan::NotRun;
-            let paused_until = self.note_crash(&error, sent, copy);
+            let retry_at = self.record_crash(&error, sent, duplicate);
             let facts = RequestFacts {
                 repeatable: !self.request.not_repeatable,
                 resumable: relay.is_resumable(),
@@ -251,14 +251,14 @@
                 deadline: self.request.deadline,
             };
             match decide_retry(&facts, &error, &self.core.budget, Instant::now()) {
-                RetryStep::Again => self.core.telemetry.note_retry("again"),
-                RetryStep::Resume => self.core.telemetry.note_retry("resume"),
+                RetryStep::Again => self.core.telemetry.record_retry("again"),
+                RetryStep::Resume => self.core.telemetry.record_retry("resume"),
                 RetryStep::GiveUp(ran) => {
                     self.settle_failed_claim(claim, ran).await;
                     return self.fail(&to_attempt_error(&error, ran), &mut relay).await;
                 }
             }
-            if let Some(until) = paused_until {
+            if let Some(until) = retry_at {
                 tokio::time::sleep_until(until.min(self.request.deadline)).await;
             }
         }
@@ -266,11 +266,11 @@
 
     /// Notes that the last upstream ended under the request, if it has; until when the request is
     /// not repeated then, since others may know more of it.
-    fn note_crash(
+    fn record_crash(
         &self,
         error: &AttemptUpstreamError,
         sent: Instant,
-        copy: &DuplicateTicket,
+        duplicate: &DuplicateTicket,
     ) -> Option<Instant> {
         let (AttemptUpstreamError::ConnectionLost { .. }, Some(key)) = (error, &self.upstream)
         else {
@@ -279,7 +279,7 @@
         let upstream = xxh3_64(format!("{}/{}", key.name, *key.epoch).as_bytes());
         let run = TerminatedRun { upstream, sent, ended: Instant::now() };
         self.core.crashes().record_run(self.digest, run);
-        copy.record_crash()
+        duplicate.record_crash()
     }
 
     async fn settle_failed_claim(&self, claim: Option<HeldClaim>, ran: ErrorRan) {
@@ -294,13 +294,13 @@
     /// Gives the whole answer, recording it first where it is claimed.
     async fn finish(
         &mut self,
-        answer: Attempted,
+        answer: AttemptAnswer,
         relay: &mut StreamRelay,
         claim: Option<HeldClaim>,
     ) -> RequestEnd {
         self.core.crashes().record_answer(self.digest, Instant::now());
         match answer {
-            Attempted::Streamed => {
+            AttemptAnswer::Streamed => {
                 if let Some(held) = claim {
                     let stored = relay.take_record().map(|body| StoredAnswer {
                         status: StatusCode::OK.as_u16(),
@@ -311,7 +311,7 @@
                 }
                 relay.finish().await;
             }
-            Attempted::Whole { status, content_type, body } => {
+            AttemptAnswer::Complete { status, content_type, body } => {
                 if let Some(held) = claim {
                     let text = String::from_utf8(body.to_vec()).ok();
                     let stored = text.map(|body| StoredAnswer {
@@ -321,33 +321,42 @@
                     });
                     self.core.close_claim(held, stored, true).await;
                 }
-                self.link.give(whole_answer(&self.request.id, status, &content_type, body));
+                self.link.send_answer(complete_answer(
+                    &self.request.id,
+                    status,
+                    &content_type,
+                    body,
+                ));
             }
         }
         self.end("ok", None)
     }
 
     /// Asks a second upstream when the first is slow, and takes the first whole answer.
-    async fn run_hedged(&mut self, after: Duration, copy: &Arc<DuplicateTicket>) -> RequestEnd {
+    async fn run_hedged(
+        &mut self,
+        after: Duration,
+        duplicate: &Arc<DuplicateTicket>,
+    ) -> RequestEnd {
         self.core.budget.record_request();
         self.attempts = 1;
         let core = Arc::clone(&self.core);
         let sent = Instant::now();
-        if core.hold_left(self.digest, sent).is_some() {
-            return self.run_attempts(None, copy).await;
+        if core.quarantine_left(self.digest, sent).is_some() {
+            return self.run_attempts(None, duplicate).await;
         }
         let request = self.request.clone();
         let span = self.span.child("hedge");
-        let first = plain_attempt(&core, &request, &[], &span);
+        let first = run_plain_attempt(&core, &request, &[], &span);
         tokio::pin!(first);
         let early = tokio::time::timeout(after, first.as_mut()).await;
         let (key, outcome) = match early {
             Ok(done) => done,
             Err(_) if core.budget.take(Instant::now()) => {
                 self.attempts = 2;
-                core.telemetry.note_retry("hedge");
+                core.telemetry.record_retry("hedge");
                 let avoid: Vec<UpstreamKey> = Vec::new();
-                let second = plain_attempt(&core, &request, &avoid, &span);
+                let second = run_plain_attempt(&core, &request, &avoid, &span);
                 tokio::pin!(second);
                 tokio::select! {
                     done = first.as_mut() => if done.1.is_ok() { done } else { second.await },
@@ -360,30 +369,30 @@
         let mut relay = StreamRelay::new(&self.link, false);
         match outcome {
             Ok(answer) => self.finish(answer, &mut relay, None).await,
-            Err(AttemptEnd::Failed(error)) => {
+            Err(AttemptError::Failed(error)) => {
                 // The other of two attempts was given up, and may have run as well.
                 self.may_have_run |= error.ran() != ErrorRan::NotRun || self.attempts > 1;
                 self.tried.extend(self.upstream.clone());
-                if let Some(until) = self.note_crash(&error, sent, copy) {
+                if let Some(until) = self.record_crash(&error, sent, duplicate) {
                     tokio::time::sleep_until(until.min(self.request.deadline)).await;
                 }
-                self.run_attempts(None, copy).await
+                self.run_attempts(None, duplicate).await
             }
-            Err(AttemptEnd::Nothing(error)) => self.fail(&error, &mut relay).await,
+            Err(AttemptError::NotAttempted(error)) => self.fail(&error, &mut relay).await,
         }
     }
 
     fn replay(&mut self, answer: StoredAnswer) -> RequestEnd {
         let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
         let body = Bytes::from(answer.body);
-        let mut replayed = whole_answer(&self.request.id, status, &answer.content_type, body);
+        let mut replayed = complete_answer(&self.request.id, status, &answer.content_type, body);
         replayed.headers_mut().insert("x-hollowbarrow-replayed", HeaderValue::from_static("true"));
-        self.link.give(replayed);
+        self.link.send_answer(replayed);
         self.end("replayed", Some(ErrorRan::Ran))
     }
 
     fn refuse(&mut self, error: &CallerError) -> RequestEnd {
-        self.link.give(error.to_answer(&self.request.id));
+        self.link.send_answer(error.to_answer(&self.request.id));
         self.end(error.name(), Some(error.ran))
     }
 
@@ -405,10 +414,10 @@
     }
 }
 
-fn whole_answer(id: &str, status: StatusCode, content_type: &str, body: Bytes) -> CallerAnswer {
+fn complete_answer(id: &str, status: StatusCode, content_type: &str, body: Bytes) -> CallerAnswer {
     let mut builder = Response::builder().status(status).header("x-request-id", id);
     if let Ok(kind) = HeaderValue::try_from(content_type) {
         builder = builder.header("content-type", kind);
     }
-    builder.body(AnswerBody::whole(body)).expect("the headers are valid")
+    builder.body(AnswerBody::complete(body)).expect("the headers are valid")
 }
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -18,7 +18,7 @@
 use hollowbarrow_zone::{LeaseTable, NodeObservation};
 use tokio::time::Instant;
 
-use crate::digest::{keep_set, list_set};
+use crate::digest::{expand_set, extract_set};
 
 /// How long a node that is neither listed nor seen is remembered.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
@@ -40,11 +40,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct KnownPeer {
     /// When a digest last came.
-    pub(crate) heard: Instant,
+    pub(crate) last_received: Instant,
     /// Its clock in the latest digest, to echo.
-    pub(crate) stamp: u64,
+    pub(crate) sender_clock_ms: u64,
     /// Newest version of this daemon's zone's table that it holds.
-    pub(crate) table_rank: (u64, u64),
+    pub(crate) table_precedence: (u64, u64),
     /// Digest of the set of this daemon's replicas that it keeps the list of.
     pub(crate) known_set: u64,
     /// The set of its replicas that it last listed.
@@ -96,7 +96,7 @@
     }
 
     /// Takes the platform's list; returns whether anything changed that routes depend on.
-    pub(crate) fn take_list(&mut self, list: PlatformList, now: Instant) -> bool {
+    pub(crate) fn record_list(&mut self, list: PlatformList, now: Instant) -> bool {
         let mut changed = false;
         for node in self.nodes.values_mut() {
             node.in_list = false;
@@ -124,22 +124,29 @@
     }
 
     /// Takes a sighting and notes returns after a loss or restart.
-    pub(crate) fn take_sighting(&mut self, id: &NodeId, sighting: NodeObservation, now: Instant) {
+    pub(crate) fn record_observation(
+        &mut self,
+        id: &NodeId,
+        observation: NodeObservation,
+        now: Instant,
+    ) {
         let lease = self.leases.lease();
         let known = self.leases.observation(id);
         let was_lost = match known {
-            Some(known) => known.start != sighting.start || known.seen + lease < sighting.seen,
+            Some(known) => {
+                known.start != observation.start || known.seen + lease < observation.seen
+            }
             None => self.gone.contains_key(id),
         };
         if was_lost && let Some(node) = self.nodes.get_mut(id) {
             node.returned = Some(now);
         }
         self.gone.remove(id);
-        self.leases.observe(id, sighting);
+        self.leases.observe(id, observation);
     }
 
     /// Notes that nothing listens at a node.
-    pub(crate) fn take_loss(&mut self, id: &NodeId, at: Instant) {
+    pub(crate) fn record_loss(&mut self, id: &NodeId, at: Instant) {
         self.leases.observe_loss(id, at);
         if self.leases.observation(id).is_none() {
             self.gone.insert(id.clone(), at);
@@ -147,7 +154,7 @@
     }
 
     /// Takes another daemon's digest; returns whether a zone's table changed.
-    pub(crate) fn take_digest(
+    pub(crate) fn record_digest(
         &mut self,
         from: (&DaemonId, &ZoneId),
         digest: ObserverDigest,
@@ -179,26 +186,32 @@
                 }
             }
             let kept = self.peers.get(id).map(|peer| peer.listed.clone()).unwrap_or_default();
-            for replica in digest.replicas.iter().chain(&list_set(&digest.set, &kept)) {
+            for replica in digest.replicas.iter().chain(&expand_set(&digest.set, &kept)) {
                 self.leases.observe_replica(replica, base, held);
             }
         }
-        let listed = keep_set(&digest.set, &digest.replicas)
+        let listed = extract_set(&digest.set, &digest.replicas)
             .or_else(|| self.peers.get(id).map(|peer| peer.listed.clone()))
             .unwrap_or_default();
         if !digest.capacity.is_empty() {
             let (applied, groups) = (digest.applied, digest.capacity);
             self.capacity.insert(zone.clone(), ReportedCapacity { at: now, applied, groups });
         }
-        let table_rank = (*digest.table_term, digest.table_version);
+        let table_precedence = (*digest.table_term, digest.table_version);
         let known_set = digest.known_set;
-        let peer = KnownPeer { heard: now, stamp: digest.sent, table_rank, known_set, listed };
+        let peer = KnownPeer {
+            last_received: now,
+            sender_clock_ms: digest.sent,
+            table_precedence,
+            known_set,
+            listed,
+        };
         self.peers.insert(id.clone(), peer);
-        digest.table.is_some_and(|table| self.take_table(table))
+        digest.table.is_some_and(|table| self.record_table(table))
     }
 
     /// Takes a zone's table unless a newer one is known.
-    pub(crate) fn take_table(&mut self, table: ZoneTable) -> bool {
+    pub(crate) fn record_table(&mut self, table: ZoneTable) -> bool {
         let newer = self.tables.get(&table.zone).is_none_or(|known| known.rank() < table.rank());
         if newer {
             self.tables.insert(table.zone.clone(), table);
@@ -207,13 +220,15 @@
     }
 
     /// Rank of a zone's table, zeros where none is known.
-    pub(crate) fn table_rank(&self, zone: &ZoneId) -> (u64, u64) {
+    pub(crate) fn table_precedence(&self, zone: &ZoneId) -> (u64, u64) {
         self.tables.get(zone).map_or((0, 0), |table| (*table.term, table.version))
     }
 
     /// Whether a daemon was heard of lately.
-    pub(crate) fn is_heard(&self, id: &DaemonId, within: Duration, now: Instant) -> bool {
-        self.peers.get(id).is_some_and(|peer| now.saturating_duration_since(peer.heard) < within)
+    pub(crate) fn has_reported(&self, id: &DaemonId, within: Duration, now: Instant) -> bool {
+        self.peers
+            .get(id)
+            .is_some_and(|peer| now.saturating_duration_since(peer.last_received) < within)
     }
 
     /// Capacity that zones' authorities reported lately.
@@ -252,18 +267,23 @@
     }
 
     /// Why a node cannot be used now, if it cannot.
-    pub(crate) fn unusable(&self, id: &NodeId, node: &KnownNode, now: Instant) -> Option<String> {
+    pub(crate) fn unusable_reason(
+        &self,
+        id: &NodeId,
+        node: &KnownNode,
+        now: Instant,
+    ) -> Option<String> {
         let lease = self.leases.lease();
-        let Some(sighting) = self.leases.observation(id) else {
+        let Some(observation) = self.leases.observation(id) else {
             let gone = self.gone.contains_key(id);
             let why = if gone { "nothing listens at it" } else { "it was not seen yet" };
             return Some(why.to_owned());
         };
-        let silent = now.saturating_duration_since(sighting.seen);
+        let silent = now.saturating_duration_since(observation.seen);
         if silent > lease {
             return Some(format!("not seen for {:.1} s", silent.as_secs_f64()));
         }
-        if sighting.state == hollowbarrow_schema::NodeState::Failed {
+        if observation.state == hollowbarrow_schema::NodeState::Failed {
             return Some("its engine says that it failed".to_owned());
         }
         let returned = node.returned.map(|at| now.saturating_duration_since(at));
@@ -288,8 +308,9 @@
             .filter(|(_, node)| node.listed.zone == *zone && node.listed.service.is_none())
             .map(|(id, node)| {
                 let labels = config.labels().get(id).map_or(&none, |labels| &labels.value);
-                let sighting = self.leases.observation(id);
-                let held_by = sighting.and_then(|s| s.owner.as_ref()).filter(|held| *held != owner);
+                let observation = self.leases.observation(id);
+                let held_by =
+                    observation.and_then(|s| s.owner.as_ref()).filter(|held| *held != owner);
                 let foreign = held_by.or(self.foreign.get(id));
                 let unmanaged = managed
                     .failing_condition(labels)
@@ -299,10 +320,10 @@
                     domain: node.listed.domain.clone(),
                     labels: labels.clone(),
                     accelerators: node.listed.accelerators,
-                    unusable: self.unusable(id, node, now),
+                    unusable: self.unusable_reason(id, node, now),
                     leaving: self.is_leaving(id, config),
                     unmanaged,
-                    weights: sighting
+                    weights: observation
                         .map(|s| s.weights.iter().cloned().collect::<BTreeSet<String>>())
                         .unwrap_or_default(),
                 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -11,13 +11,13 @@
 
 mod answer;
 mod attempt;
+mod caller_request;
 mod callers;
 mod claims;
 mod core;
 mod daemon;
 mod digest;
 mod dispatch;
-mod facts;
 mod fleet;
 mod observer;
 mod operator;
@@ -35,6 +35,6 @@
 mod zone_demand;
 
 pub use answer::error_catalogue;
+pub use caller_request::headers;
 pub use daemon::{Daemon, DaemonHandle, DaemonListeners, StartDaemonError};
-pub use facts::headers;
 pub use telemetry::metric_catalogue;
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -20,7 +20,7 @@
         match listed {
             Ok(Ok(list)) => {
                 failing = false;
-                let changed = core.fleet_mut().take_list(list, Instant::now());
+                let changed = core.fleet_mut().record_list(list, Instant::now());
                 if changed {
                     core.rebuild_routes();
                 }
@@ -56,7 +56,7 @@
     let fleet = core.fleet();
     let within = core.lease() * 2;
     let daemons = observing_members(core.zone(), &core.settings.peers, |id| {
-        id == core.id() || fleet.is_heard(id, within, now)
+        id == core.id() || fleet.has_reported(id, within, now)
     });
     if !daemons.contains(&core.id()) {
         return Vec::new();
@@ -73,12 +73,12 @@
 async fn probe_node(core: Arc<DaemonCore>, node: NodeId) {
     let Some(address) = core.fleet().address(&node) else { return };
     let timeout = core.lease() / 2;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let outcome = core.engine.probe(address, timeout).await;
     let now = Instant::now();
     match outcome {
         Ok(report) if report.node == node => {
-            core.fleet_mut().take_sighting(&node, to_sighting(report, asked), now);
+            core.fleet_mut().record_observation(&node, to_observation(report, sent_at), now);
         }
         Ok(report) => {
             log::warn!("event=probe_other_node wanted={} found={}", *node, *report.node);
@@ -95,10 +95,10 @@
                 queued: 0,
                 weights: Vec::new(),
             };
-            core.fleet_mut().take_sighting(&node, to_sighting(report, asked), now);
+            core.fleet_mut().record_observation(&node, to_observation(report, sent_at), now);
         }
         Err(ProbeNodeError::NoAnswer(SendRequestError::Connect(_))) => {
-            core.fleet_mut().take_loss(&node, asked);
+            core.fleet_mut().record_loss(&node, sent_at);
         }
         Err(_) => {}
     }
@@ -108,7 +108,7 @@
     core.fleet().nodes.get(node).is_some_and(|node| node.listed.service.is_some())
 }
 
-fn to_sighting(report: NodeReport, asked: Instant) -> NodeObservation {
+fn to_observation(report: NodeReport, sent_at: Instant) -> NodeObservation {
     NodeObservation {
         start: report.start,
         epoch: report.epoch,
@@ -116,6 +116,6 @@
         load: report.running + report.queued,
         owner: report.owner,
         weights: report.weights,
-        seen: asked,
+        seen: sent_at,
     }
 }
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -31,7 +31,7 @@
 /// Largest document that an operator may send.
 const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
 /// How often the server looks whether it is to stop.
-const POLL: Duration = Duration::from_millis(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Serves operators on a thread until told to stop; returns where it listens.
 pub(crate) fn serve_operators(
@@ -47,7 +47,7 @@
         .name("operators".to_owned())
         .spawn(move || {
             while !*stop.borrow() {
-                server.poll_timeout(POLL);
+                server.poll_timeout(STOP_POLL_INTERVAL);
             }
         })
         .map_err(|error| StartDaemonError::Operators { address, reason: error.to_string() })?;
@@ -71,14 +71,14 @@
                 core.telemetry.to_text()
             ))
         }
-        (method, path) => match operator_of(core, request) {
+        (method, path) => match authenticate_operator(core, request) {
             Some(operator) => answer_operator(core, runtime, request, (method, path), &operator),
             None => fault(401, "bad_key", "a known operator's key is needed as Bearer token"),
         },
     }
 }
 
-fn operator_of(core: &DaemonCore, request: &Request) -> Option<String> {
+fn authenticate_operator(core: &DaemonCore, request: &Request) -> Option<String> {
     let key = request.header("Authorization")?.strip_prefix("Bearer ")?;
     let operators = core.settings.operators.iter();
     operators
@@ -91,10 +91,10 @@
     core: &Arc<DaemonCore>,
     runtime: &Handle,
     request: &Request,
-    asked: (&str, &str),
+    endpoint: (&str, &str),
     operator: &str,
 ) -> Response {
-    match asked {
+    match endpoint {
         ("GET", "/status") => Response::json(&daemon_status(core)),
         ("GET", "/nodes") => Response::json(&node_statuses(core)),
         ("GET", "/groups") => Response::json(&group_statuses(core)),
--- a/crates/daemon/src/operator_view.rs
+++ b/crates/daemon/src/operator_view.rs
@@ -52,12 +52,12 @@
             .iter()
             .map(|(id, node)| {
                 let labels = config.labels().get(id);
-                let holder = fleet.allocations().find(|(_, a)| a.members.contains(id));
-                let sighting = fleet.leases.observation(id);
-                let observed = match (fleet.unusable(id, node, now), sighting) {
+                let assigned = fleet.allocations().find(|(_, a)| a.members.contains(id));
+                let observation = fleet.leases.observation(id);
+                let observed = match (fleet.unusable_reason(id, node, now), observation) {
                     (Some(cause), _) => cause,
-                    (None, Some(sighting)) => {
-                        format!("{} at epoch {}", sighting.state, *sighting.epoch)
+                    (None, Some(observation)) => {
+                        format!("{} at epoch {}", observation.state, *observation.epoch)
                     }
                     (None, None) => "not seen".to_owned(),
                 };
@@ -75,7 +75,7 @@
                     observed,
                     labels: labels.map_or(Labels(Default::default()), |l| l.value.clone()),
                     revision: labels.map(|l| l.revision).unwrap_or_default(),
-                    group: holder.map(|(_, a)| format!("{}/{}", *a.group, a.slot)),
+                    group: assigned.map(|(_, a)| format!("{}/{}", *a.group, a.slot)),
                 }
             })
             .collect()
@@ -189,8 +189,8 @@
     let plan = zone_planner(core, &changed, now).plan();
     let mut lines = Vec::new();
     for drain in &plan.drains {
-        let what = describe_drain(&drain.reason);
-        lines.push(format!("{}/{} would be {what}", *drain.group, drain.slot));
+        let action = describe_drain(&drain.reason);
+        lines.push(format!("{}/{} would be {action}", *drain.group, drain.slot));
     }
     for form in &plan.forms {
         let members: Vec<&str> = form.members.iter().map(|member| member.as_str()).collect();
@@ -221,14 +221,14 @@
     let zones: Vec<ZoneId> = core.settings.peers.iter().map(|peer| peer.zone.clone()).collect();
     let mut counts = present.unwrap_or_default();
     let total: u32 = counts.values().sum();
-    let share = core.zone().to_string();
+    let zone = core.zone().to_string();
     if total < spec.count {
         let zones = u32::try_from(zones.iter().collect::<std::collections::BTreeSet<_>>().len());
         let even = (spec.count - total).div_ceil(zones.unwrap_or(1).max(1));
-        *counts.entry(share).or_default() += even;
+        *counts.entry(zone).or_default() += even;
     } else if total > spec.count {
-        let own = counts.get(&share).copied().unwrap_or(0);
-        counts.insert(share, own.min(spec.count));
+        let current = counts.get(&zone).copied().unwrap_or(0);
+        counts.insert(zone, current.min(spec.count));
     }
     let quota = hollowbarrow_schema::Quota { group: spec.name.clone(), counts };
     config.try_command(&ConfigCommand::SetQuota(quota));
--- a/crates/daemon/src/permits.rs
+++ b/crates/daemon/src/permits.rs
@@ -45,7 +45,7 @@
     }
 
     /// Notes that the request goes to the upstream.
-    pub(crate) fn note_sent(&self) {
+    pub(crate) fn record_sent(&self) {
         self.sent.store(true, Ordering::Relaxed);
     }
 }
@@ -78,7 +78,7 @@
     /// Gives the time after which one can come, where that is too late for the request.
     pub(crate) async fn wait_for_any(&mut self, upstreams: &[String]) -> Result<(), Duration> {
         let now = Instant::now();
-        let came = self.core.permits_came.notified();
+        let granted = self.core.permits_granted.notified();
         let limit = self.limit.unwrap_or(now + PERMIT_WAIT_TIMEOUT);
         let left = limit.saturating_duration_since(now);
         {
@@ -92,8 +92,8 @@
             }
         }
         self.limit = Some(limit);
-        self.core.permits_wanted.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), came).await;
+        self.core.permit_requested.notify_one();
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), granted).await;
         Ok(())
     }
 }
@@ -107,7 +107,12 @@
 }
 
 /// Notes what an answer, whose request was sent at this time, says of its upstream's limit.
-pub(crate) fn note_limit(core: &DaemonCore, key: &UpstreamKey, headers: &HeaderMap, sent: Instant) {
+pub(crate) fn record_limit(
+    core: &DaemonCore,
+    key: &UpstreamKey,
+    headers: &HeaderMap,
+    sent: Instant,
+) {
     let limit = match read_limit(headers, &LIMIT_HEADER) {
         Ok(limit) => limit,
         Err(error) => {
@@ -115,18 +120,18 @@
             return;
         }
     };
-    let word = LimitNotice { limit, span: NoticeInterval { sent, came: Instant::now() } };
-    if core.limits().record_notice(&limit_name(key), word) {
+    let notice = LimitNotice { limit, span: NoticeInterval { sent, came: Instant::now() } };
+    if core.limits().record_notice(&limit_name(key), notice) {
         let milli = limit_text(limit);
         log::info!("event=upstream_limit upstream={} milli_per_s={milli}", key.name);
     }
 }
 
 /// Issues permits while this daemon leads, and asks for them, until the process ends.
-pub(crate) async fn keep_permits(core: Arc<DaemonCore>) {
+pub(crate) async fn maintain_permits(core: Arc<DaemonCore>) {
     loop {
         // Requests that wait are told of at once, everything else in a moment.
-        let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permits_wanted.notified()).await;
+        let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permit_requested.notified()).await;
         let now = Instant::now();
         if let Some(term) = leading_term(&core, now) {
             let grants = {
@@ -140,7 +145,7 @@
         let leader = core.config_log.view().leader;
         if let (Some(ask), Some(leader)) = (ask, leader) {
             if leader == *core.id() {
-                take_ask(&core, &leader, &ask);
+                handle_permit_ask(&core, &leader, &ask);
             } else {
                 core.send(&leader, PeerMessage::Fleet(FleetMessage::PermitAsk(ask)));
             }
@@ -157,7 +162,7 @@
 }
 
 /// Answers what a daemon tells of upstreams that name limits; only a leader issues permits.
-pub(crate) fn take_ask(core: &DaemonCore, from: &DaemonId, ask: &PermitAsk) {
+pub(crate) fn handle_permit_ask(core: &DaemonCore, from: &DaemonId, ask: &PermitAsk) {
     let now = Instant::now();
     let Some(term) = leading_term(core, now) else { return };
     let answer = {
@@ -171,7 +176,7 @@
 fn send_grants(core: &DaemonCore, grants: BTreeMap<DaemonId, PermitGrant>) {
     for (daemon, grant) in grants {
         if daemon == *core.id() {
-            take_grant(core, &grant);
+            handle_permit_grant(core, &grant);
         } else {
             core.send(&daemon, PeerMessage::Fleet(FleetMessage::PermitGrant(grant)));
         }
@@ -179,7 +184,7 @@
 }
 
 /// Takes in the permits that were issued.
-pub(crate) fn take_grant(core: &DaemonCore, grant: &PermitGrant) {
+pub(crate) fn handle_permit_grant(core: &DaemonCore, grant: &PermitGrant) {
     core.limits().record_grant(grant, Instant::now());
-    core.permits_came.notify_waiters();
+    core.permits_granted.notify_waiters();
 }
--- a/crates/daemon/src/proposals.rs
+++ b/crates/daemon/src/proposals.rs
@@ -21,7 +21,7 @@
 /// Longest wait for one daemon's answer before another is asked.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause before a proposal is sent again.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Why a proposal has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -79,13 +79,13 @@
         payload: EntryPayload,
         deadline: Instant,
     ) -> Result<ProposalOutcome, ProposeEntryError> {
-        let mut taken = false;
+        let mut accepted = false;
         let mut round = 0;
         while Instant::now() < deadline {
             let target = self.leader_guess(log, round);
             round += 1;
             let wait = deadline.min(Instant::now() + CALL_TIMEOUT);
-            match self.ask(log, &target, payload.clone(), wait).await {
+            match self.send_proposal(log, &target, payload.clone(), wait).await {
                 Some(ProposalOutcome::NoLeader | ProposalOutcome::Lost) => {}
                 Some(outcome) => {
                     if log == LogName::Claims {
@@ -93,14 +93,14 @@
                     }
                     return Ok(outcome);
                 }
-                None => taken = true,
+                None => accepted = true,
             }
             // Who does not lead says so at once; only a whole round in vain is worth a pause.
             if round.is_multiple_of(self.config_log.view().voters.len().max(1)) {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
             }
         }
-        Err(if taken { ProposeEntryError::Unknown } else { ProposeEntryError::NoLeader })
+        Err(if accepted { ProposeEntryError::Unknown } else { ProposeEntryError::NoLeader })
     }
 
     /// The daemon to ask: the leader if it is known, else the voters in turn.
@@ -124,7 +124,7 @@
         }
     }
 
-    async fn ask(
+    async fn send_proposal(
         &self,
         log: LogName,
         target: &DaemonId,
@@ -132,7 +132,7 @@
         deadline: Instant,
     ) -> Option<ProposalOutcome> {
         if target == self.id() {
-            let receiver = self.propose_here(log, payload);
+            let receiver = self.propose_locally(log, payload);
             let answer = tokio::time::timeout_at(deadline, receiver.recv_async()).await;
             return answer.ok()?.ok();
         }
@@ -143,7 +143,7 @@
         answer.ok()?.ok()
     }
 
-    fn propose_here(
+    fn propose_locally(
         &self,
         log: LogName,
         payload: EntryPayload,
@@ -155,8 +155,8 @@
     }
 
     /// Answers another daemon's proposal.
-    pub(crate) async fn answer_call(&self, from: DaemonId, call: ForwardCall) {
-        let receiver = self.propose_here(call.log, call.payload);
+    pub(crate) async fn handle_call(&self, from: DaemonId, call: ForwardCall) {
+        let receiver = self.propose_locally(call.log, call.payload);
         // Without an outcome no answer is given: the proposer must not take it for a refusal.
         let Ok(Ok(outcome)) = tokio::time::timeout(CALL_TIMEOUT * 4, receiver.recv_async()).await
         else {
--- a/crates/daemon/src/quota.rs
+++ b/crates/daemon/src/quota.rs
@@ -21,17 +21,17 @@
 use crate::zone_demand::zone_capacity;
 
 /// Pause between two looks at the quotas.
-const STEP: Duration = Duration::from_millis(200);
+const STEP_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a new group waits for zones that have not reported their room yet.
 ///
 /// Divided at once, it would be crowded into the zones that happened to report first.
-const REPORT_PATIENCE: Duration = Duration::from_secs(2);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Name under which the leader makes changes.
 const AUTHOR: &str = "hollowbarrow/quota";
 
 /// What a zone says that it could run, none where it is not heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ZoneRoom {
+pub(crate) struct ZoneReplicaCapacity {
     pub(crate) possible: Option<u32>,
 }
 
@@ -39,28 +39,28 @@
 pub(crate) fn divide_replicas(
     spec: &GroupSpec,
     present: &BTreeMap<String, u32>,
-    zones: &BTreeMap<ZoneId, ZoneRoom>,
+    zones: &BTreeMap<ZoneId, ZoneReplicaCapacity>,
 ) -> BTreeMap<String, u32> {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     let mut silent = 0;
-    for (zone, room) in zones {
-        let had = present.get(&**zone).copied().unwrap_or(0);
-        let kept = match room.possible {
-            Some(possible) => had.min(possible),
+    for (zone, capacity) in zones {
+        let current = present.get(&**zone).copied().unwrap_or(0);
+        let kept = match capacity.possible {
+            Some(possible) => current.min(possible),
             None => {
-                silent += had;
-                had
+                silent += current;
+                current
             }
         };
         counts.insert(zone.to_string(), kept);
     }
     // Replicas in a silent zone may well serve; only urgent groups are doubled for them.
-    let covered = if spec.urgency == Urgency::Urgent { silent } else { 0 };
-    let wanted = spec.count + covered;
-    let heard: Vec<(&ZoneId, u32)> =
-        zones.iter().filter_map(|(zone, room)| Some((zone, room.possible?))).collect();
+    let replacements = if spec.urgency == Urgency::Urgent { silent } else { 0 };
+    let wanted = spec.count + replacements;
+    let reporting: Vec<(&ZoneId, u32)> =
+        zones.iter().filter_map(|(zone, capacity)| Some((zone, capacity.possible?))).collect();
     while counts.values().sum::<u32>() < wanted {
-        let next = heard
+        let next = reporting
             .iter()
             .filter(|(zone, possible)| counts[zone.as_str()] < *possible)
             .min_by_key(|(zone, possible)| (counts[zone.as_str()], u32::MAX - possible));
@@ -68,7 +68,7 @@
         *counts.entry(zone.to_string()).or_default() += 1;
     }
     while counts.values().sum::<u32>() > wanted {
-        let heaviest = heard
+        let heaviest = reporting
             .iter()
             .filter(|(zone, _)| counts[zone.as_str()] > 0)
             .max_by_key(|(zone, _)| counts[zone.as_str()]);
@@ -80,16 +80,16 @@
 }
 
 /// Looks after the quotas while this daemon leads the configuration's log.
-pub(crate) async fn keep_quotas(core: Arc<DaemonCore>) {
-    let mut memory = QuotaMemory::default();
+pub(crate) async fn maintain_quotas(core: Arc<DaemonCore>) {
+    let mut timers = QuotaTimers::default();
     loop {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         let view = core.config_log.view();
         if !view.leads || core.is_stopping() {
-            memory = QuotaMemory::default();
+            timers = QuotaTimers::default();
             continue;
         }
-        for quota in wanted_quotas(&core, &mut memory) {
+        for quota in changed_quotas(&core, &mut timers) {
             let id = format!("quota/{}/{}/{:x}", *quota.group, *view.term, rand::random::<u64>());
             let change = ConfigChange {
                 id: ChangeId(id),
@@ -97,7 +97,7 @@
                 base: None,
                 command: ConfigCommand::SetQuota(quota),
             };
-            let deadline = Instant::now() + STEP * 10;
+            let deadline = Instant::now() + STEP_INTERVAL * 10;
             let _ = core.propose(LogName::Config, EntryPayload::Config(change), deadline).await;
         }
     }
@@ -108,7 +108,7 @@
 /// A zone that has not yet applied its last quota reports room that is taken
 /// already, and two groups may be offered the same nodes; so a zone gets more
 /// of one group at a time, and only on a report made after the last change.
-fn wanted_quotas(core: &DaemonCore, memory: &mut QuotaMemory) -> Vec<Quota> {
+fn changed_quotas(core: &DaemonCore, timers: &mut QuotaTimers) -> Vec<Quota> {
     let now = Instant::now();
     let (applied, groups) = zone_capacity(core, now);
     if !groups.is_empty() {
@@ -120,32 +120,33 @@
         let fleet = core.fleet();
         let capacity = fleet.fresh_capacity(now);
         let last = config.quotas().values().map(|quota| *quota.revision).max().unwrap_or(0);
-        let mut taken: BTreeSet<&ZoneId> =
+        let mut settling: BTreeSet<&ZoneId> =
             capacity.iter().filter(|(_, r)| *r.applied < last).map(|(zone, _)| *zone).collect();
         let mut quotas = Vec::new();
         for spec in config.groups().values().map(|recorded| &recorded.value) {
             let empty = BTreeMap::new();
             let present = config.quotas().get(&spec.name).map_or(&empty, |q| &q.value.counts);
-            let mut rooms = BTreeMap::new();
+            let mut capacities = BTreeMap::new();
             for zone in &zones {
-                let had = present.get(zone.as_str()).copied().unwrap_or(0);
+                let current = present.get(zone.as_str()).copied().unwrap_or(0);
                 let possible = capacity.get(zone).map(|report| {
                     let found = report.groups.iter().find(|group| group.group == spec.name);
-                    let possible = found.map_or(had, |found| found.possible);
-                    let possible = if taken.contains(zone) { possible.min(had) } else { possible };
-                    memory.be_patient((spec, zone), possible, had, now)
+                    let possible = found.map_or(current, |found| found.possible);
+                    let possible =
+                        if settling.contains(zone) { possible.min(current) } else { possible };
+                    timers.debounce_shortage((spec, zone), possible, current, now)
                 });
-                rooms.insert((*zone).clone(), ZoneRoom { possible });
+                capacities.insert((*zone).clone(), ZoneReplicaCapacity { possible });
             }
-            let all_told = rooms.values().all(|room| room.possible.is_some());
-            if present.is_empty() && !all_told && !memory.has_waited(&spec.name, now) {
+            let all_reported = capacities.values().all(|entry| entry.possible.is_some());
+            if present.is_empty() && !all_reported && !timers.has_waited(&spec.name, now) {
                 continue;
             }
-            let counts = divide_replicas(spec, present, &rooms);
+            let counts = divide_replicas(spec, present, &capacities);
             if counts == *present {
                 continue;
             }
-            taken.extend(zones.iter().filter(|zone| {
+            settling.extend(zones.iter().filter(|zone| {
                 counts.get(zone.as_str()).copied().unwrap_or(0)
                     > present.get(zone.as_str()).copied().unwrap_or(0)
             }));
@@ -159,7 +160,7 @@
 ///
 /// Moving costs a load of weights elsewhere, and the node may be back first; the
 /// more pressing the group, the less it waits for that.
-fn shortage_patience(urgency: Urgency) -> Duration {
+fn shortage_timeout(urgency: Urgency) -> Duration {
     match urgency {
         Urgency::Urgent => Duration::from_millis(500),
         Urgency::Normal => Duration::from_secs(2),
@@ -169,33 +170,33 @@
 
 /// What the leader remembers between two looks.
 #[derive(Debug, Default)]
-struct QuotaMemory {
+struct QuotaTimers {
     short_since: BTreeMap<(GroupName, ZoneId), Instant>,
     new_since: BTreeMap<GroupName, Instant>,
 }
 
-impl QuotaMemory {
+impl QuotaTimers {
     /// A zone's room, with a shortage counted only once it has lasted.
-    fn be_patient(
+    fn debounce_shortage(
         &mut self,
         of: (&GroupSpec, &ZoneId),
         possible: u32,
-        had: u32,
+        current: u32,
         now: Instant,
     ) -> u32 {
         let key = (of.0.name.clone(), of.1.clone());
-        if possible >= had {
+        if possible >= current {
             self.short_since.remove(&key);
             return possible;
         }
         let since = *self.short_since.entry(key).or_insert(now);
         let waited = now.saturating_duration_since(since);
-        if waited < shortage_patience(of.0.urgency) { had } else { possible }
+        if waited < shortage_timeout(of.0.urgency) { current } else { possible }
     }
 
     /// Whether a new group has waited long enough for zones that do not report.
     fn has_waited(&mut self, group: &GroupName, now: Instant) -> bool {
         let since = *self.new_since.entry(group.clone()).or_insert(now);
-        now.saturating_duration_since(since) >= REPORT_PATIENCE
+        now.saturating_duration_since(since) >= REPORT_TIMEOUT
     }
 }
--- a/crates/daemon/src/refusals.rs
+++ b/crates/daemon/src/refusals.rs
@@ -32,9 +32,9 @@
 }
 
 /// A request that is sent to no upstream for this time.
-pub(crate) fn to_held_error(left: Duration) -> CallerError {
+pub(crate) fn to_quarantine_error(left: Duration) -> CallerError {
     let message = "upstreams ended, one after the other, while they ran this request";
-    CallerError::not_run(ErrorCode::EndsUpstreams, message).with_retry_after(left)
+    CallerError::not_run(ErrorCode::CrashesUpstreams, message).with_retry_after(left)
 }
 
 /// All upstreams want no requests, the first of them for this time.
@@ -51,17 +51,17 @@
 }
 
 /// Another copy of the request is under way, of which nothing has come.
-pub(crate) fn to_copy_error() -> CallerError {
+pub(crate) fn to_duplicate_error() -> CallerError {
     let message = "the same request is under way, and nothing has come of it yet";
-    CallerError::not_run(ErrorCode::CopyUnderWay, message).with_retry_after(UPSTREAM_RETRY)
+    CallerError::not_run(ErrorCode::DuplicateInFlight, message).with_retry_after(UPSTREAM_RETRY)
 }
 
 /// A limit that stands against the request.
 pub(crate) fn to_limit_error(error: &LimitRequestError) -> CallerError {
-    let told = CallerError::not_run(ErrorCode::LimitReached, error.to_string());
+    let caller_error = CallerError::not_run(ErrorCode::LimitReached, error.to_string());
     match error {
-        LimitRequestError::RateUsed { retry_after } => told.with_retry_after(*retry_after),
-        _ => told.with_retry_after(Duration::from_secs(1)),
+        LimitRequestError::RateUsed { retry_after } => caller_error.with_retry_after(*retry_after),
+        _ => caller_error.with_retry_after(Duration::from_secs(1)),
     }
 }
 
@@ -117,12 +117,12 @@
         AttemptUpstreamError::DeadlinePassed { .. } => ErrorCode::DeadlinePassed,
         _ => ErrorCode::UpstreamFailed,
     };
-    let told = CallerError::not_run(code, error.to_string()).with_ran(ran);
+    let caller_error = CallerError::not_run(code, error.to_string()).with_ran(ran);
     match error {
         AttemptUpstreamError::Refused { retry_after: Some(after), .. } => {
-            told.with_retry_after(*after)
+            caller_error.with_retry_after(*after)
         }
-        _ if ran == ErrorRan::NotRun => told.with_retry_after(UPSTREAM_RETRY),
-        _ => told,
+        _ if ran == ErrorRan::NotRun => caller_error.with_retry_after(UPSTREAM_RETRY),
+        _ => caller_error,
     }
 }
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -18,9 +18,9 @@
 use tokio::time::Instant;
 
 use crate::answer::CallerLink;
-use crate::attempt::Attempted;
+use crate::attempt::AttemptAnswer;
+use crate::caller_request::{CallerRequest, RequestKind};
 use crate::core::DaemonCore;
-use crate::facts::{CallerRequest, RequestKind};
 
 /// Event that ends a stream.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
@@ -34,7 +34,7 @@
     record: Option<String>,
     last_token: Option<Instant>,
     /// The copy of the request whose first token is awaited.
-    awaited: Option<Arc<DuplicateTicket>>,
+    duplicate: Option<Arc<DuplicateTicket>>,
 }
 
 impl StreamRelay {
@@ -47,19 +47,19 @@
             text: String::new(),
             record: records.then(String::new),
             last_token: None,
-            awaited: None,
+            duplicate: None,
         }
     }
 
     /// Lets other copies of the request go with its first token.
-    pub(crate) fn with_copy(mut self, copy: &Arc<DuplicateTicket>) -> Self {
-        self.awaited = Some(Arc::clone(copy));
+    pub(crate) fn with_duplicate(mut self, duplicate: &Arc<DuplicateTicket>) -> Self {
+        self.duplicate = Some(Arc::clone(duplicate));
         self
     }
 
     /// Whether part of the answer has gone to the caller.
     pub(crate) fn has_started(&self) -> bool {
-        self.link.pieces().is_some()
+        self.link.chunks().is_some()
     }
 
     /// Whether another upstream can go on where this one stopped.
@@ -93,7 +93,7 @@
     ) -> Result<(), AttemptUpstreamError> {
         let idle = Duration::from_millis(core.settings.limits.idle_ms);
         let mut parser = EventParser::new();
-        let mut taken = 0;
+        let mut received_bytes = 0;
         let mut finished = false;
         loop {
             let wait = request.deadline.min(Instant::now() + idle);
@@ -101,48 +101,60 @@
                 Err(_) if Instant::now() >= request.deadline => {
                     return Err(AttemptUpstreamError::DeadlinePassed { sent: true });
                 }
-                Err(_) => return Err(self.broken("it fell silent")),
-                Ok(None) => return Err(self.broken("it ended without its end mark")),
+                Err(_) => return Err(self.broken_answer("it fell silent")),
+                Ok(None) => return Err(self.broken_answer("it ended without its end mark")),
                 Ok(Some(Err(_))) => {
                     return Err(AttemptUpstreamError::ConnectionLost { tokens: self.tokens });
                 }
                 Ok(Some(Ok(frame))) => frame,
             };
             let Some(bytes) = frame.data_ref() else { continue };
-            taken += bytes.len() as u64;
-            if taken > core.settings.limits.answer_bytes {
-                return Err(self.broken("it is too long"));
+            received_bytes += bytes.len() as u64;
+            if received_bytes > core.settings.limits.answer_bytes {
+                return Err(self.broken_answer("it is too long"));
             }
-            let events = parser.push(bytes).map_err(|_| self.broken("it is no event stream"))?;
+            let events =
+                parser.push(bytes).map_err(|_| self.broken_answer("it is no event stream"))?;
             for event in events {
-                let chunk = parse_chunk(&event).map_err(|_| self.broken("an event is no chunk"))?;
+                let chunk =
+                    parse_chunk(&event).map_err(|_| self.broken_answer("an event is no chunk"))?;
                 match chunk {
                     StreamChunk::Done if finished => {
                         answer.lease.give_back();
                         return Ok(());
                     }
-                    StreamChunk::Done => return Err(self.broken("it ended without a reason")),
-                    StreamChunk::Error => return Err(self.broken("the engine reported an error")),
+                    StreamChunk::Done => {
+                        return Err(self.broken_answer("it ended without a reason"));
+                    }
+                    StreamChunk::Error => {
+                        return Err(self.broken_answer("the engine reported an error"));
+                    }
                     StreamChunk::Finish => finished = true,
                     StreamChunk::Token { index, text } => {
-                        if !self.take_token(index, &text)? {
+                        if !self.accept_token(index, &text)? {
                             continue;
                         }
-                        self.note_token(core, request);
+                        self.record_token(core, request);
                     }
                     StreamChunk::Other if self.tokens > 0 => continue,
                     StreamChunk::Other => {}
                 }
-                self.pass(&event, request).await;
+                self.forward_event(&event, request).await;
             }
         }
     }
 
     /// Checks a token's place; false where the caller has it already.
-    fn take_token(&mut self, index: Option<u32>, text: &str) -> Result<bool, AttemptUpstreamError> {
+    fn accept_token(
+        &mut self,
+        index: Option<u32>,
+        text: &str,
+    ) -> Result<bool, AttemptUpstreamError> {
         match index {
             Some(index) if index < self.tokens => return Ok(false),
-            Some(index) if index > self.tokens => return Err(self.broken("a token is missing")),
+            Some(index) if index > self.tokens => {
+                return Err(self.broken_answer("a token is missing"));
+            }
             Some(_) => {}
             None => self.numbered = false,
         }
@@ -151,43 +163,43 @@
         Ok(true)
     }
 
-    fn note_token(&mut self, core: &DaemonCore, request: &CallerRequest) {
+    fn record_token(&mut self, core: &DaemonCore, request: &CallerRequest) {
         let now = Instant::now();
         match self.last_token.replace(now) {
-            Some(last) => core.telemetry.note_token_gap(now - last),
-            None => core.telemetry.note_first_token(request.received, now),
+            Some(last) => core.telemetry.record_token_gap(now - last),
+            None => core.telemetry.record_first_token(request.received, now),
         }
-        if let Some(copy) = self.awaited.take() {
-            copy.record_progress();
+        if let Some(duplicate) = self.duplicate.take() {
+            duplicate.record_progress();
         }
     }
 
     /// Passes an event on.
-    async fn pass(&mut self, event: &str, request: &CallerRequest) {
-        let mut piece = String::with_capacity(event.len() + 16);
+    async fn forward_event(&mut self, event: &str, request: &CallerRequest) {
+        let mut chunk = String::with_capacity(event.len() + 16);
         for line in event.split('\n') {
-            piece.push_str("data: ");
-            piece.push_str(line);
-            piece.push('\n');
+            chunk.push_str("data: ");
+            chunk.push_str(line);
+            chunk.push('\n');
         }
-        piece.push('\n');
+        chunk.push('\n');
         if let Some(record) = &mut self.record {
-            record.push_str(&piece);
+            record.push_str(&chunk);
         }
-        if self.link.pieces().is_none() {
+        if self.link.chunks().is_none() {
             let head = Response::builder()
                 .header("content-type", "text/event-stream")
                 .header("cache-control", "no-cache")
                 .header("x-request-id", &request.id);
             self.link.start(head);
         }
-        self.send(piece).await;
+        self.send(chunk).await;
     }
 
-    async fn send(&self, piece: String) {
-        if let Some(pieces) = self.link.pieces() {
+    async fn send(&self, chunk: String) {
+        if let Some(chunks) = self.link.chunks() {
             // A caller that has gone away is noticed by who watches the link.
-            let _ = pieces.send(Ok(Bytes::from(piece))).await;
+            let _ = chunks.send(Ok(Bytes::from(chunk))).await;
         }
     }
 
@@ -201,17 +213,17 @@
         self.send(format!("data: {}\n\n", String::from_utf8_lossy(error))).await;
     }
 
-    fn broken(&self, reason: &'static str) -> AttemptUpstreamError {
+    fn broken_answer(&self, reason: &'static str) -> AttemptUpstreamError {
         AttemptUpstreamError::BrokenAnswer { reason, tokens: self.tokens }
     }
 }
 
 /// Reads an answer whole, within the limits.
-pub(crate) async fn read_whole(
+pub(crate) async fn read_complete_answer(
     core: &DaemonCore,
     request: &CallerRequest,
     answer: SentAnswer,
-) -> Result<Attempted, AttemptUpstreamError> {
+) -> Result<AttemptAnswer, AttemptUpstreamError> {
     let limit = usize::try_from(core.settings.limits.answer_bytes).unwrap_or(usize::MAX);
     let content_type = answer
         .headers
@@ -229,5 +241,5 @@
         Ok(Ok(body)) => body.to_bytes(),
     };
     answer.lease.give_back();
-    Ok(Attempted::Whole { status: answer.status, content_type, body })
+    Ok(AttemptAnswer::Complete { status: answer.status, content_type, body })
 }
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -118,7 +118,7 @@
     }
 
     /// Whether an upstream has this name, under any epoch.
-    pub(crate) fn names(&self, name: &str) -> bool {
+    pub(crate) fn has_name(&self, name: &str) -> bool {
         self.entries().any(|entry| entry.key.name == name)
     }
 
@@ -134,7 +134,7 @@
 
 impl RouteEntry {
     /// Until when this upstream may be given requests, none where it may not.
-    pub(crate) fn until(&self, fleet: &FleetView, now: Instant) -> Option<Instant> {
+    pub(crate) fn usable_until(&self, fleet: &FleetView, now: Instant) -> Option<Instant> {
         match &self.target {
             RouteTarget::Replica(allocation) => fleet.leases.serving_until(allocation, now).ok(),
             RouteTarget::Service(node) => fleet.leases.node_serving_until(node, now),
@@ -144,7 +144,7 @@
     }
 
     /// Waits until this upstream is known to have lost what is in flight there.
-    pub(crate) async fn lost(&self, core: &DaemonCore) {
+    pub(crate) async fn wait_until_lost(&self, core: &DaemonCore) {
         let RouteTarget::Replica(allocation) = &self.target else {
             return std::future::pending().await;
         };
@@ -161,7 +161,7 @@
 
     /// The picker's view of this upstream, none where it may not be given requests.
     pub(crate) fn to_candidate(&self, fleet: &FleetView, now: Instant) -> Option<RouteCandidate> {
-        self.until(fleet, now)?;
+        self.usable_until(fleet, now)?;
         let (reported, reported_at) = match &self.target {
             RouteTarget::Replica(allocation) => fleet.leases.load(allocation).unwrap_or((0, now)),
             RouteTarget::Service(node) => {
--- a/crates/daemon/src/table_change.rs
+++ b/crates/daemon/src/table_change.rs
@@ -23,7 +23,7 @@
     pub(crate) losses: BTreeSet<ReplicaName>,
     pub(crate) drains: BTreeSet<ReplicaName>,
     pub(crate) forms: Vec<NewReplica>,
-    pub(crate) unneeded: u64,
+    pub(crate) epoch_increment: u64,
     pub(crate) specs: BTreeMap<GroupName, GroupSpec>,
 }
 
@@ -44,7 +44,7 @@
                 allocation.phase = AllocationPhase::Draining;
             }
         }
-        table.high_epoch = Epoch(*table.high_epoch + self.unneeded);
+        table.high_epoch = Epoch(*table.high_epoch + self.epoch_increment);
         for form in self.forms {
             let Some(spec) = self.specs.get(&form.group) else { continue };
             table.high_epoch = Epoch(*table.high_epoch + 1);
@@ -75,14 +75,17 @@
 
 /// Load orders for the members of a replica that have not taken theirs.
 pub(crate) fn load_orders(fleet: &FleetView, allocation: &Allocation) -> Vec<NodeOrderEntry> {
-    let wants_order = |member: &NodeId| {
-        fleet.leases.observation(member).is_some_and(|sighting| sighting.epoch < allocation.epoch)
+    let needs_order = |member: &NodeId| {
+        fleet
+            .leases
+            .observation(member)
+            .is_some_and(|observation| observation.epoch < allocation.epoch)
     };
     allocation
         .members
         .iter()
         .zip(0..)
-        .filter(|(member, _)| wants_order(member))
+        .filter(|(member, _)| needs_order(member))
         .map(|(member, rank)| {
             let order = LoadOrder {
                 group: allocation.group.clone(),
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -24,8 +24,8 @@
 use tokio::time::Instant;
 
 use crate::answer::CallerError;
+use crate::caller_request::headers::TRACE_PARENT;
 use crate::dispatch::{RequestEnd, RequestRun};
-use crate::facts::headers::TRACE_PARENT;
 
 const SCOPE: &str = "hollowbarrow";
 /// Name, unit and meaning of each metric.
@@ -103,7 +103,7 @@
     }
 
     /// Starts the first span of a request, below the caller's if it sent one.
-    pub(crate) fn start_door(&self, request: &Request<Incoming>, id: &str) -> HopSpan {
+    pub(crate) fn start_ingress_span(&self, request: &Request<Incoming>, id: &str) -> HopSpan {
         let parent = request
             .headers()
             .get(TRACE_PARENT)
@@ -116,30 +116,30 @@
         span
     }
 
-    pub(crate) fn note_queued(&self, urgency: Urgency, waited: Duration) {
+    pub(crate) fn record_queue_time(&self, urgency: Urgency, waited: Duration) {
         let class = [KeyValue::new("class", urgency.to_string())];
         self.queue.record(waited.as_secs_f64() * 1000.0, &class);
     }
 
-    pub(crate) fn note_retry(&self, kind: &'static str) {
+    pub(crate) fn record_retry(&self, kind: &'static str) {
         self.retries.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    pub(crate) fn note_first_token(&self, received: Instant, now: Instant) {
+    pub(crate) fn record_first_token(&self, received: Instant, now: Instant) {
         let time = now.saturating_duration_since(received);
         self.first_token.record(time.as_secs_f64() * 1000.0, &[]);
     }
 
-    pub(crate) fn note_token_gap(&self, gap: Duration) {
+    pub(crate) fn record_token_gap(&self, gap: Duration) {
         self.token_gap.record(gap.as_secs_f64() * 1000.0, &[]);
     }
 
-    pub(crate) fn note_downtime(&self, group: &GroupName, replicas: u32, elapsed: Duration) {
+    pub(crate) fn record_downtime(&self, group: &GroupName, replicas: u32, elapsed: Duration) {
         let seconds = f64::from(replicas) * elapsed.as_secs_f64();
         self.group_down.add(seconds, &[KeyValue::new("group", group.to_string())]);
     }
 
-    pub(crate) fn note_stranded(&self, accelerators: u32, elapsed: Duration) {
+    pub(crate) fn record_stranded(&self, accelerators: u32, elapsed: Duration) {
         self.stranded_time.add(f64::from(accelerators) * elapsed.as_secs_f64(), &[]);
         let mut known = self.stranded_now.lock().expect("no holder of the lock panics");
         self.stranded.add(i64::from(accelerators) - i64::from(*known), &[]);
@@ -152,7 +152,7 @@
     }
 
     /// Notes a request that was refused before it was understood.
-    pub(crate) fn note_refused(&self, id: &str, error: &CallerError) {
+    pub(crate) fn record_refused(&self, id: &str, error: &CallerError) {
         self.count_request(error.name(), Urgency::Normal);
         log::info!(
             "event=request_refused request_id={id} outcome={} ran={} reason={:?}",
@@ -163,7 +163,7 @@
     }
 
     /// Notes the end of a request.
-    pub(crate) fn note_end(&self, run: &RequestRun, end: &RequestEnd) {
+    pub(crate) fn record_end(&self, run: &RequestRun, end: &RequestEnd) {
         self.count_request(end.outcome, run.request.urgency);
         run.span.set("outcome", end.outcome);
         let upstream = end.upstream.as_ref().map_or("-", |key| key.name.as_str());
--- a/crates/daemon/src/zone_authority.rs
+++ b/crates/daemon/src/zone_authority.rs
@@ -18,7 +18,7 @@
 }
 
 /// Takes a message between the members of a zone.
-pub(crate) fn take_authority(
+pub(crate) fn handle_authority_message(
     core: &DaemonCore,
     from: &DaemonId,
     zone: &ZoneId,
@@ -44,8 +44,8 @@
         core.send(&to, PeerMessage::Authority { zone: zone.clone(), message });
     }
     if let Some(table) = table {
-        let known = core.fleet().table_rank(zone);
-        if known < (*table.term, table.version) && core.fleet_mut().take_table(table) {
+        let known = core.fleet().table_precedence(zone);
+        if known < (*table.term, table.version) && core.fleet_mut().record_table(table) {
             core.rebuild_routes();
         }
     }
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -30,11 +30,11 @@
 use crate::zone_demand::{replica_view, zone_demands};
 
 /// Pause between two steps.
-const STEP: Duration = Duration::from_millis(50);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
 /// An order may take this part of the authority's lease at the longest.
-const ORDERS_PER_LEASE: u64 = 4;
+const ORDER_TIMEOUT_DIVISOR: u64 = 4;
 /// Pause before an order without effect is given again.
-const ORDER_PAUSE: Duration = Duration::from_millis(400);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 struct OrderResult {
     node: NodeId,
@@ -46,7 +46,7 @@
 pub(crate) struct ZoneController {
     core: Arc<DaemonCore>,
     stages: ReplicaStages,
-    ordered: BTreeMap<NodeId, (Epoch, Instant)>,
+    last_orders: BTreeMap<NodeId, (Epoch, Instant)>,
     results: (Sender<OrderResult>, Receiver<OrderResult>),
     last_step: Instant,
 }
@@ -56,12 +56,12 @@
     let mut controller = ZoneController {
         core: Arc::clone(&core),
         stages: ReplicaStages::default(),
-        ordered: BTreeMap::new(),
+        last_orders: BTreeMap::new(),
         results: flume::unbounded(),
         last_step: Instant::now(),
     };
     loop {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         tick_authorities(&core);
         controller.step(Instant::now());
     }
@@ -69,7 +69,7 @@
 
 impl ZoneController {
     fn step(&mut self, now: Instant) {
-        self.take_results(now);
+        self.collect_results(now);
         let elapsed = now.saturating_duration_since(self.last_step);
         self.last_step = now;
         let Some(table) = self.sync_stages(now) else { return };
@@ -78,9 +78,9 @@
         if !informed || !self.core.fleet().listed_once {
             return;
         }
-        self.measure(&table, elapsed, now);
+        self.record_zone_metrics(&table, elapsed, now);
         if !self.change_table(&table, now) {
-            self.give_orders(&table, now);
+            self.send_orders(&table, now);
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Adds the time that has passed to group downtime and stranded accelerators.
-    fn measure(&self, table: &ZoneTable, elapsed: Duration, now: Instant) {
+    fn record_zone_metrics(&self, table: &ZoneTable, elapsed: Duration, now: Instant) {
         let core = &self.core;
         core.config_log.read(|config| {
             let fleet = core.fleet();
@@ -121,7 +121,7 @@
             for demand in zone_demands(config, core.zone()) {
                 let up = serving.get(&demand.spec.name).copied().unwrap_or(0);
                 let down = demand.wanted.saturating_sub(up);
-                core.telemetry.note_downtime(&demand.spec.name, down, elapsed);
+                core.telemetry.record_downtime(&demand.spec.name, down, elapsed);
             }
             let settings = &core.settings;
             let stranded: u32 = fleet
@@ -130,7 +130,7 @@
                 .filter(|node| node.is_available() && !serving_members.contains(&node.id))
                 .map(|node| node.accelerators)
                 .sum();
-            core.telemetry.note_stranded(stranded, elapsed);
+            core.telemetry.record_stranded(stranded, elapsed);
         });
     }
 
@@ -146,13 +146,13 @@
             drains.map(|drain| (drain.group.clone(), drain.slot)).collect()
         };
         let (losses, drains) = (named(true), named(false));
-        let unneeded = self.stray_nodes(table, &forms, now);
+        let epoch_increment = self.stray_epoch_increment(table, &forms, now);
         if loaded.is_empty()
             && released.is_empty()
             && losses.is_empty()
             && drains.is_empty()
             && forms.is_empty()
-            && unneeded == 0
+            && epoch_increment == 0
         {
             return false;
         }
@@ -167,7 +167,8 @@
         let specs: BTreeMap<GroupName, GroupSpec> = core.config_log.read(|config| {
             config.groups().iter().map(|(name, r)| (name.clone(), r.value.clone())).collect()
         });
-        let change = TableChange { loaded, released, losses, drains, forms, unneeded, specs };
+        let change =
+            TableChange { loaded, released, losses, drains, forms, epoch_increment, specs };
         with_authority(&core, core.zone(), |member| {
             member.change_table(|table| change.apply(table), now)
         })
@@ -199,11 +200,11 @@
     fn has_failed(&self, fleet: &FleetView, allocation: &Allocation, now: Instant) -> bool {
         let name = (allocation.group.clone(), allocation.slot);
         let load_limit = Duration::from_millis(self.core.settings.timing.load_ms);
-        let slow = matches!(self.stages.get(&name), Some(ReplicaStage::Loading(life))
-            if now.saturating_duration_since(life.entered()) > load_limit);
+        let slow = matches!(self.stages.get(&name), Some(ReplicaStage::Loading(lifecycle))
+            if now.saturating_duration_since(lifecycle.entered()) > load_limit);
         let changed = allocation.members.iter().zip(&allocation.starts).any(|(member, start)| {
-            fleet.leases.observation(member).is_some_and(|sighting| {
-                sighting.start != *start || sighting.epoch != allocation.epoch
+            fleet.leases.observation(member).is_some_and(|observation| {
+                observation.start != *start || observation.epoch != allocation.epoch
             })
         });
         slow || changed
@@ -222,10 +223,10 @@
                     .members
                     .iter()
                     .map(|member| {
-                        let sighting = fleet.leases.observation(member)?;
-                        let ready = sighting.state == NodeState::Ready
-                            && sighting.epoch == allocation.epoch;
-                        ready.then_some(sighting.start)
+                        let observation = fleet.leases.observation(member)?;
+                        let ready = observation.state == NodeState::Ready
+                            && observation.epoch == allocation.epoch;
+                        ready.then_some(observation.start)
                     })
                     .collect();
                 Some(((allocation.group.clone(), allocation.slot), starts?))
@@ -241,14 +242,14 @@
         let mut drained = BTreeSet::new();
         for allocation in &table.allocations {
             let name = (allocation.group.clone(), allocation.slot);
-            let Some(ReplicaStage::Draining(life)) = self.stages.get(&name) else { continue };
-            let since = now.saturating_duration_since(life.entered());
+            let Some(ReplicaStage::Draining(lifecycle)) = self.stages.get(&name) else { continue };
+            let since = now.saturating_duration_since(lifecycle.entered());
             // Until every daemon's lease of this replica has run out, some may still send.
-            let settled_at = life.entered() + lease * 2;
+            let settled_at = lifecycle.entered() + lease * 2;
             let idle = fleet
                 .leases
                 .observation(allocation.head())
-                .is_none_or(|sighting| sighting.load == 0 && sighting.seen > settled_at);
+                .is_none_or(|observation| observation.load == 0 && observation.seen > settled_at);
             if (now > settled_at && idle) || since > limit {
                 drained.insert(name);
             }
@@ -264,12 +265,13 @@
     }
 
     /// Own nodes that hold something without being in any replica, to be released.
-    fn stray_nodes(&self, table: &ZoneTable, forms: &[NewReplica], now: Instant) -> u64 {
+    fn stray_epoch_increment(&self, table: &ZoneTable, forms: &[NewReplica], now: Instant) -> u64 {
         let strays = self.list_strays(table, now);
-        let taken: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
+        let reserved: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
         let fresh = strays.iter().filter(|(node, epoch)| {
-            let ordered = self.ordered.get(node).is_some_and(|(given, _)| given > epoch);
-            !ordered && !taken.contains(node) && *epoch >= table.high_epoch
+            let last_orders =
+                self.last_orders.get(node).is_some_and(|(sent_epoch, _)| sent_epoch > epoch);
+            !last_orders && !reserved.contains(node) && *epoch >= table.high_epoch
         });
         // An epoch above all others is needed only where a stray holds the highest one.
         u64::from(fresh.count() > 0)
@@ -285,16 +287,16 @@
             .iter()
             .filter(|(id, node)| node.listed.zone == *core.zone() && !members.contains(id))
             .filter_map(|(id, _)| {
-                let sighting = fleet.leases.observation(id)?;
-                let ours = sighting.owner.as_ref() == Some(&core.settings.owner);
-                let fresh = now.saturating_duration_since(sighting.seen) < core.lease();
-                (ours && fresh && sighting.state != NodeState::Idle)
-                    .then(|| (id.clone(), sighting.epoch))
+                let observation = fleet.leases.observation(id)?;
+                let ours = observation.owner.as_ref() == Some(&core.settings.owner);
+                let fresh = now.saturating_duration_since(observation.seen) < core.lease();
+                (ours && fresh && observation.state != NodeState::Idle)
+                    .then(|| (id.clone(), observation.epoch))
             })
             .collect()
     }
 
-    fn give_orders(&mut self, table: &ZoneTable, now: Instant) {
+    fn send_orders(&mut self, table: &ZoneTable, now: Instant) {
         let mut orders: Vec<NodeOrderEntry> = Vec::new();
         {
             let fleet = self.core.fleet();
@@ -315,23 +317,23 @@
             orders.push((node, table.high_epoch, NodeOrder::Release));
         }
         for (node, epoch, order) in orders {
-            self.give_order(node, epoch, order, now);
+            self.send_order(node, epoch, order, now);
         }
     }
 
-    fn give_order(&mut self, node: NodeId, epoch: Epoch, order: NodeOrder, now: Instant) {
-        let recent = self.ordered.get(&node).is_some_and(|(given, at)| {
-            *given == epoch && now.saturating_duration_since(*at) < ORDER_PAUSE
+    fn send_order(&mut self, node: NodeId, epoch: Epoch, order: NodeOrder, now: Instant) {
+        let recent = self.last_orders.get(&node).is_some_and(|(sent_epoch, at)| {
+            *sent_epoch == epoch && now.saturating_duration_since(*at) < ORDER_RETRY_INTERVAL
         });
         let left = self.core.authorities().get(self.core.zone()).and_then(|m| m.remaining(now));
         let timeout =
-            Duration::from_millis(self.core.settings.timing.authority_ms / ORDERS_PER_LEASE);
+            Duration::from_millis(self.core.settings.timing.authority_ms / ORDER_TIMEOUT_DIVISOR);
         let in_time = left.is_some_and(|left| left > timeout);
         let Some(address) = self.core.fleet().address(&node) else { return };
         if recent || !in_time {
             return;
         }
-        self.ordered.insert(node.clone(), (epoch, now));
+        self.last_orders.insert(node.clone(), (epoch, now));
         let order = FencedOrder { owner: self.core.settings.owner.clone(), epoch, order };
         let core = Arc::clone(&self.core);
         let results = self.results.0.clone();
@@ -341,7 +343,7 @@
         });
     }
 
-    fn take_results(&mut self, now: Instant) {
+    fn collect_results(&mut self, now: Instant) {
         let results: Vec<OrderResult> = self.results.1.try_iter().collect();
         for result in results {
             let Err(error) = result.outcome else { continue };
@@ -362,11 +364,13 @@
     }
 
     /// Makes later epochs higher than one that a node already holds.
-    fn raise_epoch(&self, held: Epoch, now: Instant) {
+    fn raise_epoch(&self, node_epoch: Epoch, now: Instant) {
         with_authority(&self.core, self.core.zone(), |member| {
-            let behind = member.settled_table(now).is_some_and(|table| table.high_epoch < held);
+            let behind =
+                member.settled_table(now).is_some_and(|table| table.high_epoch < node_epoch);
             if behind {
-                member.change_table(|table| table.high_epoch = table.high_epoch.max(held), now);
+                member
+                    .change_table(|table| table.high_epoch = table.high_epoch.max(node_epoch), now);
             }
         });
     }
--- a/crates/daemon/src/zone_demand.rs
+++ b/crates/daemon/src/zone_demand.rs
@@ -50,8 +50,9 @@
 /// What each group could run in the own zone, and how far the configuration was applied then;
 /// empty unless this daemon is the zone's authority.
 pub(crate) fn zone_capacity(core: &DaemonCore, now: Instant) -> (LogIndex, Vec<ZoneCapacity>) {
-    let holds = core.authorities().get(core.zone()).is_some_and(|m| m.remaining(now).is_some());
-    if !holds {
+    let is_authority =
+        core.authorities().get(core.zone()).is_some_and(|m| m.remaining(now).is_some());
+    if !is_authority {
         return (LogIndex(0), Vec::new());
     }
     core.config_log.read(|config| {
@@ -62,8 +63,8 @@
         let groups = zone_demands(config, core.zone())
             .iter()
             .map(|demand| {
-                let own = allocations.iter().filter(|a| a.group == demand.spec.name);
-                let serving = own.filter(|a| fleet.leases.serving_until(a, now).is_ok()).count();
+                let local = allocations.iter().filter(|a| a.group == demand.spec.name);
+                let serving = local.filter(|a| fleet.leases.serving_until(a, now).is_ok()).count();
                 ZoneCapacity {
                     group: demand.spec.name.clone(),
                     possible: planner.possible_replicas(demand),
