--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies that come in pieces, and errors in the engines' shape.
+//! Answers to callers: complete and streamed bodies, and errors in the JSON format of engines.
 
 use std::pin::Pin;
 use std::sync::OnceLock;
@@ -13,22 +13,22 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Pieces of an answer that may wait for a slow caller.
+/// Chunks of an answer that may be buffered for a slow caller.
 const BODY_CHANNEL_CAPACITY: usize = 32;
 
-/// An answer that ended before it was whole; the caller's connection is cut.
+/// An answer that ended before it was complete; the caller's connection is closed.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer broke off")]
+#[error("the answer was truncated")]
 pub(crate) struct TruncatedAnswerError;
 
-/// Sends the pieces of an answer.
+/// Sends the chunks of a streamed answer.
 pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedAnswerError>>;
 
 /// Body of an answer.
 pub(crate) enum AnswerBody {
-    /// Everything is there.
+    /// The complete body, until it is sent.
     Complete(Option<Bytes>),
-    /// Pieces come over a channel; the answer is whole when the channel closes.
+    /// Chunks from a channel; the answer is complete when the channel closes.
     Chunks(mpsc::Receiver<Result<Bytes, TruncatedAnswerError>>),
 }
 
@@ -72,7 +72,7 @@
 /// An answer to a caller.
 pub(crate) type CallerAnswer = Response<AnswerBody>;
 
-/// The way back to a caller: its answer, given once, and the pieces of a started one.
+/// Connection to a caller: carries its one answer and, if that is streamed, the chunks.
 #[derive(Debug)]
 pub(crate) struct CallerLink {
     answer: mpsc::Sender<CallerAnswer>,
@@ -81,20 +81,20 @@
 }
 
 impl CallerLink {
-    /// Creates a link and the receiver of its one answer.
+    /// Creates a link and the receiver of its answer.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CallerAnswer>) {
         let (answer, receiver) = mpsc::channel(1);
         (Self { answer, answer_sent: AtomicBool::new(false), chunks: OnceLock::new() }, receiver)
     }
 
-    /// Gives the answer, unless one was given.
+    /// Sends the answer, unless one was sent before.
     pub(crate) fn send_answer(&self, answer: CallerAnswer) {
         if !self.answer_sent.swap(true, Ordering::Relaxed) {
             let _ = self.answer.try_send(answer);
         }
     }
 
-    /// Gives an answer whose pieces follow.
+    /// Sends the head of a streamed answer, whose chunks follow.
     pub(crate) fn start(&self, head: hyper::http::response::Builder) {
         let (sender, body) = AnswerBody::chunks();
         if self.chunks.set(sender).is_ok() {
@@ -102,12 +102,12 @@
         }
     }
 
-    /// The sender of pieces, once an answer was started.
+    /// Returns the sender of chunks once a streamed answer has started.
     pub(crate) fn chunks(&self) -> Option<&ChunkSender> {
         self.chunks.get()
     }
 
-    /// Waits until the caller has gone away before its answer was whole.
+    /// Waits until the caller disconnects before its answer is complete.
     pub(crate) async fn disconnected(&self) {
         self.answer.closed().await;
         match self.chunks.get() {
@@ -120,11 +120,11 @@
 
 macro_rules! error_codes {
     ($($(#[doc = $doc:literal])* $code:ident = $status:expr, $name:literal, $kind:literal;)+) => {
-        /// Stable codes of errors.
+        /// Stable error codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum ErrorCode { $($(#[doc = $doc])* $code,)+ }
 
-        /// Name, HTTP status and meaning of each error that callers can be told.
+        /// Returns name, HTTP status and meaning of each error that callers can receive.
         pub fn error_catalogue() -> Vec<(&'static str, u16, String)> {
             vec![$({
                 let (status, name, _) = ErrorCode::$code.details();
@@ -133,7 +133,7 @@
         }
 
         impl ErrorCode {
-            /// Status, stable name and type of the code.
+            /// Returns status, stable name and type of the code.
             fn details(self) -> (StatusCode, &'static str, &'static str) {
                 match self { $(Self::$code => ($status, $name, $kind),)+ }
             }
@@ -142,25 +142,25 @@
 }
 
 error_codes! {
-    /// No key, or one that is not known.
+    /// The request has no key, or an unknown one.
     BadKey = StatusCode::UNAUTHORIZED, "bad_key", "authentication_error";
-    /// The request is not what the API takes.
+    /// The request is malformed or not supported by the API.
     BadRequest = StatusCode::BAD_REQUEST, "bad_request", "invalid_request_error";
-    /// The body's length is not given; bodies in chunks are not taken.
+    /// The request has no content-length; chunked bodies are not accepted.
     LengthRequired = StatusCode::LENGTH_REQUIRED, "length_required", "invalid_request_error";
     /// The body is larger than the limit.
     TooLarge = StatusCode::PAYLOAD_TOO_LARGE, "too_large", "invalid_request_error";
-    /// The body did not come in time.
+    /// The body was not received in time.
     TooSlow = StatusCode::REQUEST_TIMEOUT, "too_slow", "invalid_request_error";
-    /// No such path.
+    /// The path does not exist.
     NoSuchPath = StatusCode::NOT_FOUND, "no_such_path", "invalid_request_error";
-    /// No group or endpoint is for the model.
+    /// No group or endpoint serves the model.
     NoSuchModel = StatusCode::NOT_FOUND, "model_not_found", "invalid_request_error";
-    /// Upstreams exist but none may take requests now.
+    /// Upstreams exist but none accepts requests now.
     NoUpstream = StatusCode::SERVICE_UNAVAILABLE, "no_upstream", "server_error";
-    /// Upstreams have ended, one after the other, under this request.
+    /// Several upstreams crashed, one after the other, while they ran this request.
     CrashesUpstreams = StatusCode::SERVICE_UNAVAILABLE, "ends_upstreams", "server_error";
-    /// Another copy of this request is under way, and nothing has come of it yet.
+    /// A duplicate of this request is in progress and has not made progress yet.
     DuplicateInFlight = StatusCode::SERVICE_UNAVAILABLE, "copy_under_way", "server_error";
     /// The organisation's limit is used up.
     LimitReached = StatusCode::TOO_MANY_REQUESTS, "limit_reached", "rate_limit_error";
@@ -170,7 +170,7 @@
     DeadlinePassed = StatusCode::GATEWAY_TIMEOUT, "deadline_passed", "server_error";
     /// The upstream failed, and trying again was not safe or did not help.
     UpstreamFailed = StatusCode::BAD_GATEWAY, "upstream_failed", "server_error";
-    /// It cannot be made sure that the request runs only once.
+    /// The claims log is unavailable, so running the request only once cannot be guaranteed.
     ClaimsUnavailable = StatusCode::SERVICE_UNAVAILABLE, "claims_unavailable", "server_error";
     /// The first request with this key is still running.
     InProgress = StatusCode::CONFLICT, "in_progress", "conflict_error";
@@ -182,7 +182,7 @@
     KeyReused = StatusCode::UNPROCESSABLE_ENTITY, "key_reused", "invalid_request_error";
 }
 
-/// An error that a caller is told.
+/// An error that is sent to a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerError {
     pub(crate) code: ErrorCode,
@@ -193,7 +193,7 @@
 }
 
 impl CallerError {
-    /// An error before the request could run.
+    /// Creates an error of a request that was not run.
     pub(crate) fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -219,12 +219,12 @@
         self
     }
 
-    /// Stable name of the code.
+    /// Returns the stable name of the code.
     pub(crate) fn name(&self) -> &'static str {
         self.code.details().1
     }
 
-    /// The error as JSON.
+    /// Returns the error as JSON.
     pub(crate) fn to_json(&self, request_id: &str) -> Vec<u8> {
         let (_, code, kind) = self.code.details();
         let answer = ErrorAnswer {
@@ -237,10 +237,10 @@
                 request_id: Some(request_id.to_owned()),
             },
         };
-        serde_json::to_vec(&answer).expect("an error is JSON")
+        serde_json::to_vec(&answer).expect("an error answer serialises to JSON")
     }
 
-    /// The error as an answer.
+    /// Returns the error as an answer with this request id.
     pub(crate) fn to_answer(&self, request_id: &str) -> CallerAnswer {
         let (status, ..) = self.code.details();
         let mut builder = Response::builder()
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream: the choice, the request that is sent, and its answer.
+//! One attempt to run a request: selects an upstream, sends the request and reads its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,42 +20,42 @@
 use crate::routes::{RouteEntry, RouteTarget};
 use crate::telemetry::HopSpan;
 
-/// Pause before the upstreams are looked at again when none has room.
+/// Pause before upstreams are checked again when none has capacity.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What an attempt brought.
+/// Answer of a successful attempt.
 pub(crate) enum AttemptAnswer {
-    /// The stream came whole and was passed on but for its end mark.
+    /// The stream is complete and has been forwarded except for its end marker.
     Streamed,
-    /// A whole answer.
+    /// A complete answer.
     Complete { status: StatusCode, content_type: String, body: Bytes },
 }
 
-/// Why an attempt brought nothing.
+/// Why an attempt has no answer.
 pub(crate) enum AttemptError {
     /// An upstream failed.
     Failed(AttemptUpstreamError),
-    /// There was none to try.
+    /// No upstream was tried.
     NotAttempted(CallerError),
 }
 
-/// The upstream that was tried, if there was one, and what came of it.
+/// The upstream that was tried, if any, and the outcome.
 pub(crate) type AttemptResult = (Option<UpstreamKey>, Result<AttemptAnswer, AttemptError>);
 
-/// Makes an attempt at a plain call.
+/// Makes an attempt for a call of a plain service.
 pub(crate) async fn run_plain_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
     avoid: &[UpstreamKey],
     span: &HopSpan,
 ) -> AttemptResult {
-    // A plain call is never streamed, so nothing goes over this link.
+    // A plain call is never streamed, so nothing is sent over this link.
     let (link, _) = CallerLink::new();
     let mut relay = StreamRelay::new(&Arc::new(link), false);
     run_attempt(core, request, &[], avoid, span, &mut relay, false).await
 }
 
-/// Picks an upstream, sends the request and brings its answer.
+/// Selects an upstream, sends the request and reads its answer.
 pub(crate) async fn run_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
@@ -79,8 +79,8 @@
         send_to_upstream(core, request, &entry, &attempt_span, relay, streamed, &picker_guard);
     let outcome = tokio::select! {
         outcome = sending => outcome,
-        // The answer of a replica that lost a member will not come; only what may run again
-        // is given up for that.
+        // A replica that lost a member cannot answer any more. Only a repeatable request is
+        // abandoned for that.
         () = entry.wait_until_lost(core), if !request.not_repeatable => {
             Err(AttemptUpstreamError::BrokenAnswer { reason: "the replica lost a member", tokens: 0 })
         }
@@ -95,7 +95,7 @@
     (Some(key), outcome.map_err(AttemptError::Failed))
 }
 
-/// Counts an attempt at its upstream until it ends.
+/// Keeps an attempt counted at its upstream in the picker until dropped.
 pub(crate) struct PickerGuard<'a> {
     core: &'a DaemonCore,
     key: &'a UpstreamKey,
@@ -111,20 +111,20 @@
         Self { core, key, started, first_byte_at: std::sync::OnceLock::new(), permit: None }
     }
 
-    /// Sets what allows the attempt.
+    /// Sets the permit that the attempt uses.
     fn with_permit(mut self, permit: Option<HeldPermit>) -> Self {
         self.permit = permit;
         self
     }
 
-    /// Notes that the request goes to the upstream.
+    /// Records that the request is being sent to the upstream.
     fn record_sent(&self) {
         if let Some(permit) = &self.permit {
             permit.record_sent();
         }
     }
 
-    /// Notes that the first byte of the answer came.
+    /// Records that the first byte of the answer was received.
     pub(crate) fn record_first_byte(&self) {
         let _ = self.first_byte_at.set(Instant::now());
     }
@@ -138,14 +138,15 @@
     }
 }
 
-/// An upstream that was chosen.
+/// A selected upstream.
 struct PickedUpstream {
     entry: RouteEntry,
-    /// What allows the request there, where the upstream takes only so many a second.
+    /// Permit for the request, if the upstream has a rate limit.
     permit: Option<HeldPermit>,
 }
 
-/// Chooses an upstream, waiting for room until the deadline, and for a permit for a moment.
+/// Selects an upstream. Waits for capacity until the deadline, and for a permit until
+/// `PERMIT_WAIT_TIMEOUT`.
 async fn pick_upstream(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
@@ -156,7 +157,7 @@
     loop {
         let now = Instant::now();
         if now >= request.deadline {
-            let message = "the deadline passed before an upstream had room";
+            let message = "the deadline passed before an upstream had capacity";
             return Err(CallerError::not_run(ErrorCode::DeadlinePassed, message));
         }
         let routes = core.routes();
@@ -196,7 +197,7 @@
     }
 }
 
-/// Drops candidates that need a permit which is not there; their names.
+/// Drops candidates that need a permit while none is available, and returns their names.
 fn drop_without_permit(
     core: &DaemonCore,
     candidates: &mut Vec<RouteCandidate>,
@@ -218,7 +219,9 @@
     dropped
 }
 
-/// Notes the need of a permit of an upstream that lacks one as often as the request would go there.
+/// Records a future need of a permit for a randomly drawn upstream that lacks one.
+///
+/// Each upstream is drawn as often as the request would be sent there if permits were available.
 fn sample_future_need(
     core: &DaemonCore,
     candidates: &[RouteCandidate],
@@ -231,8 +234,7 @@
     }
 }
 
-/// Drops candidates that want no requests; after what time the first one wants some again, where
-/// any was dropped.
+/// Drops candidates that are in backoff, and returns the shortest remaining backoff of those dropped.
 fn drop_backed_off(
     core: &DaemonCore,
     candidates: &mut Vec<RouteCandidate>,
@@ -253,13 +255,13 @@
         let is_configured = core
             .config_log
             .read(|config| config.groups().values().any(|group| group.value.model == *model));
-        // Callers do not ask again after a 404.
+        // Callers do not retry after a 404, so it is sent only while the configuration is current.
         if entries.is_empty() && !is_configured && core.is_config_current(Instant::now()) {
             let message = format!("no group or endpoint serves model {}", **model);
             return CallerError::not_run(ErrorCode::NoSuchModel, message).with_field("model");
         }
     }
-    let message = "no upstream may take requests now";
+    let message = "no upstream accepts requests now";
     CallerError::not_run(ErrorCode::NoUpstream, message).with_retry_after(UPSTREAM_RETRY)
 }
 
@@ -279,7 +281,7 @@
         .await
         .map_err(|_| AttemptUpstreamError::NotReached)?;
     let message = to_upstream_request(request, entry, span, relay);
-    // From here on nothing may take time: the lease and the deadline are checked, then it goes.
+    // There must be no wait between these checks of lease and deadline and the sending.
     let now = Instant::now();
     if now >= request.deadline {
         return Err(AttemptUpstreamError::DeadlinePassed { sent: false });
@@ -315,13 +317,14 @@
         return relay.run(core, request, answer).await.map(|()| AttemptAnswer::Streamed);
     }
     if relay.has_started() {
-        let reason = "the resumed answer is no stream";
+        let reason = "the resumed answer is not a stream";
         return Err(AttemptUpstreamError::BrokenAnswer { reason, tokens: 0 });
     }
     read_complete_answer(core, request, answer).await
 }
 
-/// Statuses by which an engine says that it ran nothing, as the upstream protocol promises.
+/// Returns whether an engine reports with this status that it did not run the request, as the
+/// upstream protocol guarantees.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
@@ -329,7 +332,7 @@
     )
 }
 
-/// Notes for how long an upstream that turns requests away wants none, and returns that.
+/// Records and returns the backoff that an upstream requests when it rejects a request.
 fn record_backoff_notice(
     core: &DaemonCore,
     key: &UpstreamKey,
@@ -365,8 +368,8 @@
             forwarded.insert(name, value);
         }
     };
-    let left = request.deadline.saturating_duration_since(Instant::now());
-    put(headers::DEADLINE, left.as_millis().to_string());
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
+    put(headers::DEADLINE, remaining.as_millis().to_string());
     put(headers::PRIORITY, request.urgency.to_string());
     put(headers::TRACE_PARENT, span.trace_parent());
     if *entry.key.epoch > 0 {
--- a/crates/daemon/src/caller_request.rs
+++ b/crates/daemon/src/caller_request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and refuses what is malformed.
+//! Reads and validates callers' requests.
 
 use std::time::Duration;
 
@@ -23,50 +23,50 @@
     pub const AUTHORIZATION: &str = "authorization";
     /// `urgent`, `normal` or `batch`.
     pub const PRIORITY: &str = "x-hollowbarrow-priority";
-    /// Milliseconds within which the answer is wanted.
+    /// Milliseconds within which the caller needs the answer.
     pub const DEADLINE: &str = "x-hollowbarrow-deadline-ms";
-    /// Identity of the request over resends.
+    /// Key that identifies the request across retries.
     pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
     /// `true` where the request must run at most once.
     pub const NOT_REPEATABLE: &str = "x-hollowbarrow-not-repeatable";
-    /// Identity of the request in logs and traces.
+    /// Id of the request in logs and traces.
     pub const REQUEST_ID: &str = "x-request-id";
-    /// Epoch of the replica that a request is meant for, towards upstreams only.
+    /// Epoch of the replica that a request is addressed to; sent to upstreams only.
     pub const EPOCH: &str = "x-hollowbarrow-epoch";
     /// W3C trace context.
     pub const TRACE_PARENT: &str = "traceparent";
 }
 
-/// Longest time for a completion without a deadline of its own.
+/// Timeout of a completion whose caller sets no deadline.
 const COMPLETION_TIMEOUT: Duration = Duration::from_secs(300);
 /// Longest deadline that a caller may set.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// Longest idempotency key or request identity.
+/// Longest idempotency key.
 const MAX_KEY_BYTES: usize = 256;
-/// Tokens that a completion is counted with where the caller names no number.
+/// Tokens that a completion is charged when the caller sets no `max_tokens`.
 const DEFAULT_TOKENS: u64 = 256;
-/// Longest time for a caller to send its body.
+/// Timeout for receiving a caller's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a request is for.
+/// Kind of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum RequestKind {
     /// A completion of a model.
     Completion {
-        /// The model asked for.
+        /// The requested model.
         model: ModelName,
         /// Whether the answer is to be streamed.
         stream: bool,
         /// The body as JSON.
         body: Value,
-        /// Text whose prefix decides about affinity.
+        /// Text whose prefix determines the affinity to upstreams.
         prompt: String,
     },
     /// A call of a plain service.
     Plain(RouteSettings),
 }
 
-/// A caller's request, checked.
+/// A validated request of a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) id: String,
@@ -88,13 +88,13 @@
 ///
 /// # Errors
 ///
-/// Fails where there is no key or it is not known.
+/// Fails if the key is missing or unknown.
 pub(crate) fn authenticate<'a>(
     settings: &'a Settings,
     headers: &HeaderMap,
 ) -> Result<&'a OrganisationSettings, CallerError> {
     let refuse =
-        || CallerError::not_run(ErrorCode::BadKey, "a known key is needed as Bearer token");
+        || CallerError::not_run(ErrorCode::BadKey, "a valid key is required as Bearer token");
     let key = bearer(headers).ok_or_else(refuse)?;
     settings
         .organisations
@@ -107,26 +107,27 @@
     headers.get(headers::AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")
 }
 
-/// Refuses framings that two readers could take for different requests.
+/// Rejects framings that two HTTP parsers could read as different requests.
 pub(crate) fn check_framing(headers: &HeaderMap) -> Result<(), CallerError> {
-    // The HTTP library drops a length that stands beside chunks, so that shape cannot be told
-    // from plain chunks any more; callers know their bodies' length, so chunks are not taken.
+    // The HTTP library drops a content-length beside transfer-encoding, so that combination cannot
+    // be distinguished from plain chunked encoding. Callers know the length of their bodies, so
+    // chunked encoding is not accepted.
     if headers.contains_key(TRANSFER_ENCODING) {
-        let message = "send content-length; bodies in chunks are not taken";
+        let message = "send content-length; chunked bodies are not accepted";
         return Err(CallerError::not_run(ErrorCode::LengthRequired, message));
     }
     if headers.get_all(CONTENT_LENGTH).iter().count() > 1 {
-        let message = "the length of the body is given twice";
+        let message = "the request has more than one content-length header";
         return Err(CallerError::not_run(ErrorCode::BadRequest, message));
     }
     Ok(())
 }
 
-/// Reads and checks a request.
+/// Reads and validates a request.
 ///
 /// # Errors
 ///
-/// Fails with the error that the caller is to be told.
+/// Fails with the error to send to the caller.
 pub(crate) async fn read_request(
     settings: &Settings,
     id: &str,
@@ -144,7 +145,10 @@
         return Err(CallerError::not_run(ErrorCode::NoSuchPath, format!("no such path: {path}")));
     }
     if completion && parts.method != Method::POST {
-        return Err(CallerError::not_run(ErrorCode::BadRequest, "completions are asked by POST"));
+        return Err(CallerError::not_run(
+            ErrorCode::BadRequest,
+            "completions must be requested with POST",
+        ));
     }
     let received = Instant::now();
     let body = read_body(body, settings.limits.body_bytes).await?;
@@ -173,7 +177,8 @@
         received,
         deadline: received + requested.unwrap_or(timeout),
         key: read_key(&parts.headers)?,
-        // Only a read can be repeatable on a route that is marked; a header may mark more, not less.
+        // On a route set as not repeatable only safe methods are repeatable. The header can make a
+        // request not repeatable, but never repeatable.
         not_repeatable: by_header || (by_route && !parts.method.is_safe()),
         cost,
     })
@@ -188,14 +193,16 @@
     let limit = usize::try_from(limit).unwrap_or(usize::MAX);
     let collected = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect());
     match collected.await {
-        Err(_) => Err(CallerError::not_run(ErrorCode::TooSlow, "the body did not come in time")),
+        Err(_) => {
+            Err(CallerError::not_run(ErrorCode::TooSlow, "the body was not received in time"))
+        }
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => {
             let message = format!("the body is larger than {limit} bytes");
             Err(CallerError::not_run(ErrorCode::TooLarge, message))
         }
         Ok(Err(_)) => {
-            Err(CallerError::not_run(ErrorCode::BadRequest, "the body did not come whole"))
+            Err(CallerError::not_run(ErrorCode::BadRequest, "the body was not received completely"))
         }
     }
 }
@@ -217,12 +224,12 @@
         _ => return Err(bad("stream", "stream must be true or false")),
     };
     if !matches!(&body["max_tokens"], Value::Null) && body["max_tokens"].as_u64().is_none() {
-        return Err(bad("max_tokens", "max_tokens must be a whole number"));
+        return Err(bad("max_tokens", "max_tokens must be an integer that is not negative"));
     }
     let prompt = match (&body["messages"], &body["prompt"]) {
         (Value::Array(messages), _) if !messages.is_empty() => body["messages"].to_string(),
         (Value::Null, Value::String(prompt)) => prompt.clone(),
-        _ => return Err(bad("messages", "messages or prompt is needed")),
+        _ => return Err(bad("messages", "messages or prompt is required")),
     };
     Ok(RequestKind::Completion { model: ModelName(model), stream, body, prompt })
 }
@@ -243,7 +250,7 @@
     match value.to_str() {
         Ok(text) if once => Ok(Some(text.trim())),
         _ => {
-            let message = format!("{name} must be given once, as text");
+            let message = format!("{name} must be sent once, as visible ASCII text");
             Err(CallerError::not_run(ErrorCode::BadRequest, message).with_field(name))
         }
     }
@@ -252,7 +259,7 @@
 fn read_urgency(headers: &HeaderMap, default: Urgency) -> Result<Urgency, CallerError> {
     let Some(value) = header_text(headers, headers::PRIORITY)? else { return Ok(default) };
     value.parse().map_err(|_| {
-        let message = format!("{value:?} is none of urgent, normal and batch");
+        let message = format!("{value:?} is not one of urgent, normal and batch");
         CallerError::not_run(ErrorCode::BadRequest, message).with_field(headers::PRIORITY)
     })
 }
@@ -262,7 +269,7 @@
     match value.parse() {
         Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(Some(Duration::from_millis(ms))),
         _ => {
-            let message = format!("{value:?} is no number from 1 to {MAX_DEADLINE_MS}");
+            let message = format!("{value:?} is not a number from 1 to {MAX_DEADLINE_MS}");
             Err(CallerError::not_run(ErrorCode::BadRequest, message).with_field(headers::DEADLINE))
         }
     }
@@ -289,7 +296,7 @@
     Ok(Some(key.to_owned()))
 }
 
-/// Headers to pass on: none about one connection, none of hollowbarrow's own, and no key.
+/// Returns the headers to forward, without hop-by-hop headers, hollowbarrow's headers and the key.
 fn forwarded_headers(parts: &Parts) -> HeaderMap {
     let named_by_connection: Vec<String> = parts
         .headers
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,8 +1,8 @@
-//! Takes callers' connections.
+//! Accepts callers' connections.
 //!
-//! Each connection has limits on its headers, bodies and idle time. A request
-//! runs in a task of its own: if its caller goes away, a repeatable request is
-//! cancelled with its upstream, and a not repeatable one is seen through so
+//! Each connection has limits on its headers, bodies and idle time. Each request
+//! runs in a separate task: if its caller disconnects, a repeatable request is
+//! cancelled with its upstream, and a non-repeatable one runs to completion so
 //! that its outcome is recorded.
 
 use std::convert::Infallible;
@@ -27,14 +27,14 @@
 
 /// Largest head of a request.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers of a request.
+/// Largest number of headers of a request.
 const MAX_HEADERS: usize = 100;
-/// Longest request identity taken from a caller.
+/// Longest request id that is accepted from a caller.
 const MAX_ID_BYTES: usize = 128;
-/// Pause after a failed accept, as when files run out.
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts callers until told to stop; then lets open connections end.
+/// Accepts callers until shutdown, then lets open connections finish.
 pub(crate) async fn serve_callers(
     core: Arc<DaemonCore>,
     listener: std::net::TcpListener,
@@ -66,7 +66,7 @@
 }
 
 async fn stop_requested(stop: &mut watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is as good as being told.
+    // An error means that the sender was dropped with the daemon, which also requires a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
@@ -115,8 +115,11 @@
     core.in_flight.fetch_add(1, Ordering::Relaxed);
     tokio::spawn(run_counted(Arc::clone(&core), checked, link, span));
     receiver.recv().await.unwrap_or_else(|| {
-        // The task ended without an answer, which only a bug can bring about.
-        let error = CallerError::not_run(ErrorCode::UpstreamFailed, "the request was dropped");
+        // The task ended without an answer, which only a bug can cause.
+        let error = CallerError::not_run(
+            ErrorCode::UpstreamFailed,
+            "the request's task ended without an answer",
+        );
         error.with_ran(hollowbarrow_schema::ErrorRan::Unknown).to_answer(&id)
     })
 }
@@ -139,7 +142,7 @@
     }
 }
 
-/// The caller's identity of the request if it has a usable one, else a fresh one.
+/// Returns the request id from the caller if it is valid, otherwise a random one.
 fn request_id(request: &Request<Incoming>) -> String {
     let supplied = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
     let usable = |id: &&str| {
@@ -157,7 +160,7 @@
     Response::builder()
         .status(status)
         .body(AnswerBody::complete(body))
-        .expect("the answer is valid")
+        .expect("the headers are valid")
 }
 
 fn list_models(core: &DaemonCore, request: &Request<Incoming>, id: &str) -> CallerAnswer {
@@ -174,5 +177,5 @@
         .header("content-type", "application/json")
         .header("x-request-id", id)
         .body(AnswerBody::complete(body))
-        .expect("the answer is valid")
+        .expect("the headers are valid")
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of a daemon share.
+//! State that all tasks of a daemon share.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -25,14 +25,15 @@
 use crate::routes::RouteIndex;
 use crate::telemetry::Telemetry;
 
-/// Election times for which the leader's word on the configuration holds. A daemon that does not
-/// vote hears it once in each; five are a third of the time in which a change has to be in force.
+/// Election timeouts for which the leader's confirmation of the configuration is valid. A daemon
+/// that does not vote receives one in each election timeout; five are a third of the time within
+/// which a change must be in force.
 const CONFIRMATION_ELECTIONS: u64 = 5;
 
 /// Shared state of a daemon.
 ///
-/// Locks are taken in one order: the configuration, the fleet, then any other
-/// alone. Nobody waits for a message or a disk while holding one.
+/// Lock order: the configuration, then the fleet, then any one of the others. No
+/// lock is held while waiting for a message or for the disk.
 pub(crate) struct DaemonCore {
     pub(crate) settings: Settings,
     pub(crate) config_log: LogDriver<ConfigState>,
@@ -47,17 +48,17 @@
     pub(crate) limiter: OrganisationLimiter,
     pub(crate) budget: RetryBudget,
     pub(crate) crashes: Mutex<CrashTracker>,
-    /// Upstreams that want no requests, by the name of the node or endpoint.
+    /// Backoffs of upstreams, by the name of the node or endpoint.
     pub(crate) backoffs: Mutex<BackoffTable<String>>,
-    /// Upstreams that take only so many requests a second, by name and epoch.
+    /// Rate limits of upstreams, by name and epoch.
     pub(crate) limits: Mutex<UpstreamLimits>,
-    /// What this daemon issues of them while it leads.
+    /// Issues permits for rate-limited upstreams while this daemon leads.
     pub(crate) limit_coordinator: Mutex<LimitCoordinator>,
-    /// Told when a request waits for a permit.
+    /// Notified when a request waits for a permit.
     pub(crate) permit_requested: Notify,
-    /// Told when the issuer of permits has answered.
+    /// Notified when permits were granted.
     pub(crate) permits_granted: Notify,
-    /// Copies of requests that nobody has seen answered.
+    /// Duplicates of requests that have not been answered yet.
     pub(crate) duplicates: DuplicateGate,
     pub(crate) client: UpstreamClient,
     pub(crate) engine: HttpEngine,
@@ -66,7 +67,7 @@
     pub(crate) ready: AtomicBool,
     pub(crate) stopping: AtomicBool,
     pub(crate) in_flight: AtomicU32,
-    /// Whether any loss dissolves every replica of the zone; only for comparisons.
+    /// Whether any loss dissolves every replica of the zone; for comparisons only.
     pub(crate) rebuild_all: bool,
 }
 
@@ -79,7 +80,7 @@
         &self.settings.zone
     }
 
-    /// Region of this daemon's availability zone.
+    /// Returns the region of the local availability zone.
     pub(crate) fn region(&self) -> &str {
         let local = self.settings.peers.iter().find(|peer| peer.id == self.settings.id);
         local.map_or("", |peer| peer.region.as_str())
@@ -101,12 +102,14 @@
         Arc::clone(&self.routes.read().expect("no holder of the lock panics"))
     }
 
-    /// Requests under which upstreams end.
+    /// Locks the tracker of requests that crash upstreams.
     pub(crate) fn crashes(&self) -> MutexGuard<'_, CrashTracker> {
         self.crashes.lock().expect("no holder of the lock panics")
     }
 
-    /// For how long a request is to be sent to no upstream; none where it may be.
+    /// Returns for how long a request stays quarantined, `None` if it may be sent.
+    ///
+    /// After a quarantine has expired, only some daemons at a time may send probe requests.
     pub(crate) fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
         let over = match self.crashes().quarantine_state(request, now)? {
             QuarantineState::Active(left) => return Some(left),
@@ -117,7 +120,7 @@
         probe_delay(local, request, window, self.daemons(), over)
     }
 
-    /// Whether the configuration here holds all that has to be in force.
+    /// Returns whether the local configuration contains all changes that must be in force.
     pub(crate) fn is_config_current(&self, now: Instant) -> bool {
         let view = self.config_log.view();
         let freshness = ConfigFreshness {
@@ -129,12 +132,12 @@
         freshness.is_current(Duration::from_millis(max_age))
     }
 
-    /// Upstreams that want no requests from this daemon.
+    /// Locks the backoffs of upstreams.
     pub(crate) fn backoffs(&self) -> MutexGuard<'_, BackoffTable<String>> {
         self.backoffs.lock().expect("no holder of the lock panics")
     }
 
-    /// Upstreams that take only so many requests a second.
+    /// Locks the rate limits of upstreams.
     pub(crate) fn limits(&self) -> MutexGuard<'_, UpstreamLimits> {
         self.limits.lock().expect("no holder of the lock panics")
     }
@@ -143,7 +146,7 @@
         self.limit_coordinator.lock().expect("no holder of the lock panics")
     }
 
-    /// Number of daemons that share the upstreams.
+    /// Returns the number of daemons that share the upstreams.
     pub(crate) fn daemons(&self) -> u32 {
         u32::try_from(self.settings.peers.len()).unwrap_or(u32::MAX)
     }
@@ -156,7 +159,7 @@
         self.authorities.lock().expect("no holder of the lock panics")
     }
 
-    /// Sends a message to another daemon if there is a connection to be had.
+    /// Sends a message to another daemon; drops it if its queue is full or the mesh has not started.
     pub(crate) fn send(&self, to: &DaemonId, message: PeerMessage) {
         if let Some(mesh) = self.mesh.get() {
             mesh.send(to, &message);
@@ -167,19 +170,20 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether the daemon is an authority member of a zone.
+    /// Returns the members of a zone's authority.
     pub(crate) fn zone_members(&self, zone: &ZoneId) -> Vec<DaemonId> {
         zone_members(zone, &self.settings.peers)
     }
 
-    /// Rebuilds the index of upstreams from the tables, the list and the configuration.
+    /// Rebuilds the index of upstreams from the zones' tables, the platform's list and the
+    /// configuration.
     pub(crate) fn rebuild_routes(&self) {
         let index = self.config_log.read(|config| RouteIndex::new(&self.fleet(), config));
         *self.routes.write().expect("no holder of the lock panics") = Arc::new(index);
     }
 }
 
-/// Milliseconds since 1970, for people and for the clock that the claims' log carries.
+/// Returns milliseconds since the Unix epoch, for display and for the clock of the claims log.
 pub(crate) fn wall_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
--- a/crates/daemon/src/dispatch.rs
+++ b/crates/daemon/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Takes one request from the door to its end.
+//! Runs one caller's request: admission, claim, duplicates, attempts and the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,17 +26,17 @@
 use crate::relay::StreamRelay;
 use crate::telemetry::HopSpan;
 
-/// Longest time for which a copy of a request waits for what comes of another one: a replica that
-/// works reads a prompt in less.
+/// Longest wait of a duplicate request for the progress of another one. A working replica reads a
+/// prompt in less.
 const DUPLICATE_WAIT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a copy of a request may go.
+/// Outcome of the wait of a request at the duplicate gate.
 enum DuplicateEntry {
-    /// It may.
+    /// The request may run.
     Entered(DuplicateTicket),
-    /// Nothing came of another copy for too long.
+    /// Another duplicate made no progress until the timeout.
     WaitedTooLong,
-    /// Its caller has gone away meanwhile.
+    /// The caller disconnected.
     Disconnected,
 }
 
@@ -49,7 +49,7 @@
     pub(crate) attempts: u32,
 }
 
-/// One request on its way.
+/// A request in progress.
 pub(crate) struct RequestRun {
     pub(crate) core: Arc<DaemonCore>,
     pub(crate) request: CallerRequest,
@@ -59,13 +59,13 @@
     pub(crate) attempts: u32,
     pub(crate) upstream: Option<UpstreamKey>,
     tried: Vec<UpstreamKey>,
-    /// Whether an attempt that failed may have run.
+    /// Whether a failed attempt may have run the request.
     may_have_run: bool,
-    /// Tells whether two requests are the same one, sent again.
+    /// Digest of the content, equal for duplicates of a request.
     digest: RequestDigest,
 }
 
-/// Runs a request and gives its answer.
+/// Runs a request and sends its answer.
 pub(crate) async fn run_request(
     core: Arc<DaemonCore>,
     request: CallerRequest,
@@ -79,7 +79,7 @@
     let content = RequestContent {
         organisation: &request.organisation.id,
         method: request.method.as_str(),
-        // Routes of a daemon do not depend on it.
+        // A daemon's routes do not depend on the host.
         host: "",
         target: &request.target,
         body: &request.body,
@@ -135,7 +135,7 @@
         end
     }
 
-    /// Runs the request, under a claim where it must not run twice.
+    /// Runs the request, under a claim if it is not repeatable and has a key.
     async fn run_claimed(&mut self) -> RequestEnd {
         let key = self.request.key.clone().filter(|_| self.request.not_repeatable);
         let Some(key) = key else { return self.run(None).await };
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Waits until this copy of the request may go.
+    /// Waits until no other duplicate of the request blocks this one.
     async fn enter_duplicate_gate(&self) -> DuplicateEntry {
         let answered = self.core.crashes().was_answered(self.digest);
         let limit = self.request.deadline.min(Instant::now() + DUPLICATE_WAIT_TIMEOUT);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Runs the request as one of its copies.
+    /// Runs the request once the duplicate gate admits it, hedged where its route allows that.
     async fn run(&mut self, claim: Option<HeldClaim>) -> RequestEnd {
         let duplicate = match self.enter_duplicate_gate().await {
             DuplicateEntry::Entered(duplicate) => Arc::new(duplicate),
@@ -190,7 +190,7 @@
         self.run_attempts(claim, &duplicate).await
     }
 
-    /// Tries upstreams in turn for as long as that is safe.
+    /// Tries upstreams one after the other while a retry is safe.
     async fn run_attempts(
         &mut self,
         claim: Option<HeldClaim>,
@@ -200,10 +200,10 @@
         let streamed = matches!(self.request.kind, RequestKind::Completion { stream: true, .. });
         let mut relay = StreamRelay::new(&self.link, claim.is_some()).with_duplicate(duplicate);
         loop {
-            // Looked up before each attempt: another one may end the next replica.
+            // Checked before each attempt, since a further attempt may crash the next replica.
             let sent = Instant::now();
-            let held = self.core.quarantine_left(self.digest, sent);
-            if let Some(left) = held {
+            let quarantined = self.core.quarantine_left(self.digest, sent);
+            if let Some(left) = quarantined {
                 let ran = if self.may_have_run { ErrorRan::Unknown } else { ErrorRan::NotRun };
                 self.settle_failed_claim(claim, ran).await;
                 return self.fail(&to_quarantine_error(left), &mut relay).await;
@@ -264,8 +264,10 @@
         }
     }
 
-    /// Notes that the last upstream ended under the request, if it has; until when the request is
-    /// not repeated then, since others may know more of it.
+    /// Records a crash if the last upstream's connection was lost while it ran the request.
+    ///
+    /// Returns until when the request must not be retried, since its duplicates may show
+    /// meanwhile whether it crashes upstreams.
     fn record_crash(
         &self,
         error: &AttemptUpstreamError,
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Gives the whole answer, recording it first where it is claimed.
+    /// Completes the answer, after recording it if the request has a claim.
     async fn finish(
         &mut self,
         answer: AttemptAnswer,
@@ -332,7 +334,8 @@
         self.end("ok", None)
     }
 
-    /// Asks a second upstream when the first is slow, and takes the first whole answer.
+    /// Sends the request to a second upstream when the first is slow, and uses the first complete
+    /// answer.
     async fn run_hedged(
         &mut self,
         after: Duration,
@@ -370,7 +373,7 @@
         match outcome {
             Ok(answer) => self.finish(answer, &mut relay, None).await,
             Err(AttemptError::Failed(error)) => {
-                // The other of two attempts was given up, and may have run as well.
+                // With two attempts, the other one failed too and may have run the request.
                 self.may_have_run |= error.ran() != ErrorRan::NotRun || self.attempts > 1;
                 self.tried.extend(self.upstream.clone());
                 if let Some(until) = self.record_crash(&error, sent, duplicate) {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,13 +1,14 @@
-//! One entry node of hollowbarrow.
+//! The daemon process of hollowbarrow, which serves callers and controls its availability zone.
 //!
-//! This crate puts the parts together: the doors towards callers and
-//! operators, the loops that observe nodes and exchange digests, the controller of
-//! the own availability zone, and the clients of the two logs. [`Daemon`] is
-//! what the command line starts.
+//! The crate combines the ingress listeners for callers and operators, the tasks
+//! that probe nodes and exchange zone summaries, the controller of the local
+//! availability zone, and the clients of the two logs. The command line starts a
+//! [`Daemon`].
 //!
-//! Invariants: a request is given to an upstream only after its lease and the
-//! deadline were checked in the same step; a not repeatable request with a key
-//! is given to one only after its claim was granted.
+//! Invariants: a request is sent to an upstream only after the upstream's lease
+//! and the request's deadline have been checked without waiting in between; a
+//! non-repeatable request with an idempotency key is sent only after its claim
+//! has been granted.
 
 mod answer;
 mod attempt;
--- a/crates/daemon/src/refusals.rs
+++ b/crates/daemon/src/refusals.rs
@@ -1,4 +1,4 @@
-//! What callers are told when their request is refused or fails.
+//! Errors that callers receive when their request is refused or fails.
 
 use std::time::Duration;
 
@@ -10,53 +10,53 @@
 use crate::answer::{CallerError, ErrorCode};
 use crate::proposals::ProposeEntryError;
 
-/// When a caller may come back after an upstream was lacking.
+/// Retry-After delay when no upstream was available.
 pub(crate) const UPSTREAM_RETRY: Duration = Duration::from_secs(2);
-/// Shortest time to come back where upstreams take only so many requests a second.
+/// Shortest Retry-After delay when upstreams are at their rate limits.
 const LIMITED_RETRY: Duration = Duration::from_secs(1);
-/// When a caller may come back after the claims were not to be had.
+/// Retry-After delay when the claims log was unavailable.
 const CLAIMS_RETRY: Duration = Duration::from_secs(2);
 
-/// How far a failed send got.
+/// Converts a failed send into an attempt's error, by how far the request got.
 pub(crate) fn to_send_error(error: SendRequestError) -> AttemptUpstreamError {
     match error {
         SendRequestError::Connect(_) => AttemptUpstreamError::NotReached,
         unsent if unsent.is_unsent() => AttemptUpstreamError::NotSent,
         SendRequestError::Timeout => AttemptUpstreamError::DeadlinePassed { sent: true },
         SendRequestError::OtherRequest(_) => {
-            let reason = "it is for another request";
+            let reason = "it belongs to another request";
             AttemptUpstreamError::BrokenAnswer { reason, tokens: 0 }
         }
         _ => AttemptUpstreamError::ConnectionLost { tokens: 0 },
     }
 }
 
-/// A request that is sent to no upstream for this time.
+/// Returns the error of a request that stays quarantined for this time.
 pub(crate) fn to_quarantine_error(left: Duration) -> CallerError {
-    let message = "upstreams ended, one after the other, while they ran this request";
+    let message = "several upstreams crashed, one after the other, while they ran this request";
     CallerError::not_run(ErrorCode::CrashesUpstreams, message).with_retry_after(left)
 }
 
-/// All upstreams want no requests, the first of them for this time.
+/// Returns the error when all upstreams are in backoff, the shortest for this time.
 pub(crate) fn to_backoff_error(left: Duration) -> CallerError {
-    let message = "all upstreams have asked for no requests for now";
+    let message = "all upstreams are in backoff";
     CallerError::not_run(ErrorCode::NoUpstream, message).with_retry_after(left)
 }
 
-/// All upstreams that have room take only so many requests a second, the first of them the next one
-/// after this time.
+/// Returns the error when all upstreams with capacity are at their rate limits, the first of them
+/// for this time.
 pub(crate) fn to_limited_error(wait: Duration) -> CallerError {
-    let message = "all upstreams take as many requests as they want for now";
+    let message = "all upstreams are at their rate limits";
     CallerError::not_run(ErrorCode::NoUpstream, message).with_retry_after(wait.max(LIMITED_RETRY))
 }
 
-/// Another copy of the request is under way, of which nothing has come.
+/// Returns the error when a duplicate of the request is in progress without any progress yet.
 pub(crate) fn to_duplicate_error() -> CallerError {
-    let message = "the same request is under way, and nothing has come of it yet";
+    let message = "a duplicate of this request is in progress and has not made progress yet";
     CallerError::not_run(ErrorCode::DuplicateInFlight, message).with_retry_after(UPSTREAM_RETRY)
 }
 
-/// A limit that stands against the request.
+/// Returns the error when the organisation's limits do not admit the request.
 pub(crate) fn to_limit_error(error: &LimitRequestError) -> CallerError {
     let caller_error = CallerError::not_run(ErrorCode::LimitReached, error.to_string());
     match error {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Why the request was not let in.
+/// Returns the error when the queue did not admit the request.
 pub(crate) fn to_shed_error(error: &ShedRequestError) -> CallerError {
     match error {
         ShedRequestError::QueueFull { retry_after } => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// What became of the first request with the same key.
+/// Returns the error for the outcome of the first request with the same key.
 pub(crate) fn to_claim_error(outcome: &ClaimOutcome) -> CallerError {
     let (code, ran, message) = match outcome {
         ClaimOutcome::InProgress => (
@@ -105,13 +105,13 @@
     CallerError::not_run(code, message).with_ran(ran)
 }
 
-/// The claims are not to be had.
+/// Returns the error when the claims log gave no outcome.
 pub(crate) fn to_propose_error(error: ProposeEntryError) -> CallerError {
-    let message = format!("it cannot be made sure that the request runs only once: {error}");
+    let message = format!("cannot guarantee that the request runs only once: {error}");
     CallerError::not_run(ErrorCode::ClaimsUnavailable, message).with_retry_after(CLAIMS_RETRY)
 }
 
-/// Why the last attempt failed.
+/// Returns the error for the failure of the last attempt.
 pub(crate) fn to_attempt_error(error: &AttemptUpstreamError, ran: ErrorRan) -> CallerError {
     let code = match error {
         AttemptUpstreamError::DeadlinePassed { .. } => ErrorCode::DeadlinePassed,
--- a/crates/daemon/src/routes.rs
+++ b/crates/daemon/src/routes.rs
@@ -13,17 +13,17 @@
 use crate::fleet::FleetView;
 use crate::permits::limit_name;
 
-/// Pause between two looks whether a replica was lost.
+/// Pause between two checks whether a replica was lost.
 const LOSS_POLL: Duration = Duration::from_millis(100);
 
-/// Where a request may go.
+/// Target of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum RouteTarget {
     /// A replica of a group.
     Replica(Allocation),
     /// A node of a plain service.
     Service(NodeId),
-    /// An outside endpoint.
+    /// An external endpoint.
     Endpoint,
 }
 
@@ -93,14 +93,14 @@
             target: RouteTarget::Replica(allocation.clone()),
             address,
             pool: format!("group/{}", *allocation.group),
-            // A replica of a deleted group serves what comes until it drains.
+            // A replica of a deleted group keeps serving until it is drained.
             weight: spec.map_or(1, |spec| spec.value.weight),
             zone: Some(zone.clone()),
         };
         self.models.entry(allocation.model.clone()).or_default().push(entry);
     }
 
-    /// Models that some upstream is for.
+    /// Returns the models that have an upstream.
     pub(crate) fn models(&self) -> impl Iterator<Item = &ModelName> {
         self.models.keys()
     }
@@ -117,12 +117,12 @@
         self.entries().any(|entry| entry.key == *key)
     }
 
-    /// Whether an upstream has this name, under any epoch.
+    /// Returns whether an upstream has this name, under any epoch.
     pub(crate) fn has_name(&self, name: &str) -> bool {
         self.entries().any(|entry| entry.key.name == name)
     }
 
-    /// Names of the upstreams in what daemons tell each other of limits.
+    /// Returns the names of upstreams in messages about rate limits.
     pub(crate) fn limit_names(&self) -> impl Iterator<Item = String> {
         self.entries().map(|entry| limit_name(&entry.key))
     }
@@ -133,17 +133,17 @@
 }
 
 impl RouteEntry {
-    /// Until when this upstream may be given requests, none where it may not.
+    /// Returns until when requests may be sent to this upstream, `None` if they may not.
     pub(crate) fn usable_until(&self, fleet: &FleetView, now: Instant) -> Option<Instant> {
         match &self.target {
             RouteTarget::Replica(allocation) => fleet.leases.serving_until(allocation, now).ok(),
             RouteTarget::Service(node) => fleet.leases.node_serving_until(node, now),
-            // Nothing observes an outside endpoint; its own refusals speak for it.
+            // External endpoints are not probed; their answers show whether they accept requests.
             RouteTarget::Endpoint => Some(now + fleet.leases.lease()),
         }
     }
 
-    /// Waits until this upstream is known to have lost what is in flight there.
+    /// Waits until this upstream is known to have lost its requests in flight.
     pub(crate) async fn wait_until_lost(&self, core: &DaemonCore) {
         let RouteTarget::Replica(allocation) = &self.target else {
             return std::future::pending().await;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The picker's view of this upstream, none where it may not be given requests.
+    /// Returns this upstream as a candidate, `None` if requests may not be sent to it.
     pub(crate) fn to_candidate(&self, fleet: &FleetView, now: Instant) -> Option<RouteCandidate> {
         self.usable_until(fleet, now)?;
         let (reported, reported_at) = match &self.target {
