--- a/crates/daemon/src/claims.rs
+++ b/crates/daemon/src/claims.rs
@@ -1,4 +1,4 @@
-//! Opens and ends claims of not repeatable requests.
+//! Opens and closes claims of non-repeatable requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use crate::core::{DaemonCore, wall_ms};
 use crate::proposals::ProposeEntryError;
 
-/// Longest wait for a claim to be granted.
+/// Timeout for a claim to be granted.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an outcome is brought to the log in the background.
+/// Timeout for recording an outcome in the log in the background.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest time that a caller's answer waits for the outcome to be recorded.
+/// Timeout after which a caller's answer no longer waits for its outcome to be recorded.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time beyond the deadline after which an unfinished claim counts as unknown.
+/// Time after the deadline until an unfinished claim is treated as having an unknown outcome.
 const CLAIM_GRACE: Duration = Duration::from_secs(5);
-/// Bytes of the digest that names a claim; no two keys will ever share 128 bits.
+/// Bytes of the digest that identifies a claim; 128 bits make collisions negligible.
 const KEY_BYTES: usize = 16;
 /// Pause between two sweeps of the claims.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A claim that this daemon was granted.
+/// A claim that this daemon has opened.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldClaim {
     key: ClaimKey,
     attempt: String,
 }
 
-/// Identity of a not repeatable request.
+/// Identity of a non-repeatable request.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimIdentity {
     pub(crate) key: ClaimKey,
@@ -41,7 +41,7 @@
 }
 
 impl ClaimIdentity {
-    /// Digests who asks and the key, and what is asked.
+    /// Hashes organisation and key into the claim's key, and target and body into its fingerprint.
     pub(crate) fn new(organisation: &OrganisationId, key: &str, target: &str, body: &[u8]) -> Self {
         let mut digest = Sha256::new();
         digest.update((organisation.len() as u64).to_le_bytes());
@@ -67,20 +67,20 @@
         }
     }
 
-    /// Asks for the only right to run a request.
+    /// Opens a claim, which grants the exclusive right to run a request.
     ///
     /// # Errors
     ///
-    /// Fails where no answer comes; the request must not be run then, and what
-    /// may have been granted is given back in the background.
+    /// Fails if no outcome arrives. The request must not be run then; a claim that
+    /// may have been granted is released in the background.
     pub(crate) async fn open_claim(
         self: &Arc<Self>,
         identity: &ClaimIdentity,
         attempt: &str,
         deadline: Instant,
     ) -> Result<(ClaimOutcome, HeldClaim), ProposeEntryError> {
-        let left = deadline.saturating_duration_since(Instant::now());
-        let lifetime = u64::try_from((left + CLAIM_GRACE).as_millis()).unwrap_or(u64::MAX);
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let lifetime = u64::try_from((remaining + CLAIM_GRACE).as_millis()).unwrap_or(u64::MAX);
         let held = HeldClaim { key: identity.key.clone(), attempt: attempt.to_owned() };
         let open = ClaimOpen {
             key: identity.key.clone(),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Gives a claim back in the background; no byte of the request has left.
+    /// Releases a claim in the background, for a request that was not run.
     pub(crate) fn release_claim(self: &Arc<Self>, held: HeldClaim) {
         let release = ClaimRelease { key: held.key, attempt: held.attempt };
         let core = Arc::clone(self);
@@ -108,7 +108,7 @@
         });
     }
 
-    /// Records the outcome of a claim, waiting a little and then going on in the background.
+    /// Records the outcome of a claim; after `RECORD_TIMEOUT` that continues in the background.
     pub(crate) async fn close_claim(
         self: &Arc<Self>,
         held: HeldClaim,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Brings the clock into the claims' log while this daemon leads it.
+/// Appends the wall clock to the claims log, which expires claims, while this daemon leads it.
 pub(crate) async fn sweep_claims(core: Arc<DaemonCore>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
--- a/crates/daemon/src/permits.rs
+++ b/crates/daemon/src/permits.rs
@@ -1,7 +1,7 @@
-//! Permits to send to upstreams that name limits.
+//! Permits to send requests to upstreams that have rate limits.
 //!
-//! The leader of the configuration's log issues them to all daemons, itself among them, while a
-//! majority has confirmed lately that it leads.
+//! The leader of the configuration log issues them to all daemons, including itself, while a
+//! majority has confirmed within the last election timeout that it leads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,15 +20,15 @@
 
 use crate::core::DaemonCore;
 
-/// Header by which an upstream names the requests a second that it takes from all daemons.
+/// Header in which an upstream reports its limit of requests per second over all daemons.
 const LIMIT_HEADER: HeaderName = HeaderName::from_static("x-hollowbarrow-limit");
 
-/// Name of an upstream's life in what daemons tell each other of limits.
+/// Returns the name of an upstream's instance (name and epoch) in messages about rate limits.
 pub(crate) fn limit_name(key: &UpstreamKey) -> String {
     format!("{}/{}", key.name, *key.epoch)
 }
 
-/// A permit that was taken for a request; given back unless the request goes.
+/// A permit taken for a request; returned on drop unless the request was sent.
 pub(crate) struct HeldPermit {
     core: Arc<DaemonCore>,
     upstream: String,
@@ -37,14 +37,14 @@
 }
 
 impl HeldPermit {
-    /// Takes a permit, where the upstream needs one and one is there.
+    /// Takes a permit if the upstream needs one and one is available.
     pub(crate) fn take(core: &Arc<DaemonCore>, key: &UpstreamKey, now: Instant) -> Option<Self> {
         let upstream = limit_name(key);
         let permit = core.limits().take(&upstream, now)?;
         Some(Self { core: Arc::clone(core), upstream, permit, sent: AtomicBool::new(false) })
     }
 
-    /// Notes that the request goes to the upstream.
+    /// Records that the request is being sent to the upstream.
     pub(crate) fn record_sent(&self) {
         self.sent.store(true, Ordering::Relaxed);
     }
@@ -58,24 +58,24 @@
     }
 }
 
-/// A request's wait for a permit, over all its looks at the upstreams.
+/// A request's wait for a permit, across all its tries to select an upstream.
 pub(crate) struct PermitWait {
     core: Arc<DaemonCore>,
-    /// Until when it waits, once it has begun to.
+    /// End of the wait, once it has begun.
     limit: Option<Instant>,
 }
 
 impl PermitWait {
-    /// Creates the wait of a request that has not begun to.
+    /// Creates the wait of a request, not begun yet.
     pub(crate) fn new(core: &Arc<DaemonCore>) -> Self {
         Self { core: Arc::clone(core), limit: None }
     }
 
-    /// Waits until a permit of one of several upstreams may be there.
+    /// Waits until a permit of one of several upstreams may be available.
     ///
     /// # Errors
     ///
-    /// Gives the time after which one can come, where that is too late for the request.
+    /// Fails with the time until a permit can be available if that is too late for the request.
     pub(crate) async fn wait_for_any(&mut self, upstreams: &[String]) -> Result<(), Duration> {
         let now = Instant::now();
         let granted = self.core.permits_granted.notified();
@@ -83,8 +83,9 @@
         let left = limit.saturating_duration_since(now);
         {
             let mut limits = self.core.limits();
-            let may_come = limits.record_need_of_any(upstreams, left, self.limit.is_some(), now);
-            if left.is_zero() || !may_come {
+            let may_be_granted =
+                limits.record_need_of_any(upstreams, left, self.limit.is_some(), now);
+            if left.is_zero() || !may_be_granted {
                 return Err(limits.wait(upstreams, now));
             }
             if self.limit.is_none() {
@@ -106,7 +107,8 @@
     }
 }
 
-/// Notes what an answer, whose request was sent at this time, says of its upstream's limit.
+/// Records the rate limit that an upstream reports in an answer, whose request was sent at this
+/// time.
 pub(crate) fn record_limit(
     core: &DaemonCore,
     key: &UpstreamKey,
@@ -127,10 +129,10 @@
     }
 }
 
-/// Issues permits while this daemon leads, and asks for them, until the process ends.
+/// Issues permits while this daemon leads, and requests them, until the process ends.
 pub(crate) async fn maintain_permits(core: Arc<DaemonCore>) {
     loop {
-        // Requests that wait are told of at once, everything else in a moment.
+        // Waiting requests are reported at once, everything else after `PERMIT_INTERVAL`.
         let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permit_requested.notified()).await;
         let now = Instant::now();
         if let Some(term) = leading_term(&core, now) {
@@ -153,7 +155,8 @@
     }
 }
 
-/// Term of this daemon, while it is sure that it leads.
+/// Returns the current term while a majority has confirmed within the last election timeout that
+/// this daemon leads.
 fn leading_term(core: &DaemonCore, now: Instant) -> Option<Term> {
     let view = core.config_log.view();
     let election = Duration::from_millis(core.settings.timing.election_ms);
@@ -161,7 +164,7 @@
     (view.leads && confirmed).then_some(view.term)
 }
 
-/// Answers what a daemon tells of upstreams that name limits; only a leader issues permits.
+/// Handles a daemon's request for permits; only the leader issues them.
 pub(crate) fn handle_permit_ask(core: &DaemonCore, from: &DaemonId, ask: &PermitAsk) {
     let now = Instant::now();
     let Some(term) = leading_term(core, now) else { return };
@@ -183,7 +186,7 @@
     }
 }
 
-/// Takes in the permits that were issued.
+/// Records granted permits and notifies the requests that wait for them.
 pub(crate) fn handle_permit_grant(core: &DaemonCore, grant: &PermitGrant) {
     core.limits().record_grant(grant, Instant::now());
     core.permits_granted.notify_waiters();
--- a/crates/daemon/src/proposals.rs
+++ b/crates/daemon/src/proposals.rs
@@ -1,8 +1,8 @@
-//! Brings proposals to the leader of a log, wherever it is.
+//! Sends proposals to the leader of a log, locally or on another daemon.
 //!
-//! A proposal is sent again until an answer comes or its deadline passes. That
-//! is safe because both logs remember what they were asked: changes by their
-//! identity, claims by their attempt.
+//! A proposal is retried until an outcome arrives or its deadline passes. That is
+//! safe because both logs detect repeated proposals: changes by their id, claims
+//! by their attempt.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -18,19 +18,19 @@
 
 use crate::core::DaemonCore;
 
-/// Longest wait for one daemon's answer before another is asked.
+/// Timeout for one daemon's answer before another is tried.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-/// Pause before a proposal is sent again.
+/// Pause before a proposal is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Why a proposal has no outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ProposeEntryError {
-    /// No leader was found, and no daemon took the proposal in.
-    #[error("no leader of the log can be reached")]
+    /// No leader was found, and no daemon accepted the proposal.
+    #[error("no leader of the log could be reached")]
     NoLeader,
-    /// A daemon took the proposal in, but its outcome did not come in time.
-    #[error("the outcome is not known")]
+    /// A daemon may have accepted the proposal, but its outcome did not arrive in time.
+    #[error("the outcome is unknown")]
     Unknown,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl PendingCalls {
-    /// Gives an answer to who waits for it.
+    /// Passes a reply to the call that waits for it.
     pub(crate) fn resolve(&self, reply: ForwardReply) {
         let waiter = self.waiting.lock().expect("no holder of the lock panics").remove(&reply.id);
         if let Some(waiter) = waiter {
@@ -95,7 +95,8 @@
                 }
                 None => accepted = true,
             }
-            // Who does not lead says so at once; only a whole round in vain is worth a pause.
+            // A daemon that does not lead answers at once, so the pause follows only after all
+            // voters have been tried.
             if round.is_multiple_of(self.config_log.view().voters.len().max(1)) {
                 tokio::time::sleep(RETRY_INTERVAL).await;
             }
@@ -103,7 +104,7 @@
         Err(if accepted { ProposeEntryError::Unknown } else { ProposeEntryError::NoLeader })
     }
 
-    /// The daemon to ask: the leader if it is known, else the voters in turn.
+    /// Returns the daemon to send to: the leader if it is known, else the voters in turn.
     fn leader_guess(&self, log: LogName, round: usize) -> DaemonId {
         let (leader, voters) = match log {
             LogName::Config => {
@@ -113,7 +114,8 @@
             LogName::Claims => {
                 let view = self.claims_log.view();
                 let leader = view.leader.or_else(|| self.pending.claims_hint());
-                // The voters' entry is only in the voters' own logs; the configuration's follows it.
+                // Only its voters have the claims log. The configuration log, which every daemon
+                // has, gets the same voters right after it.
                 (leader, self.config_log.view().voters)
             }
         };
@@ -154,10 +156,10 @@
         }
     }
 
-    /// Answers another daemon's proposal.
+    /// Handles another daemon's proposal and sends the outcome.
     pub(crate) async fn handle_call(&self, from: DaemonId, call: ForwardCall) {
         let receiver = self.propose_locally(call.log, call.payload);
-        // Without an outcome no answer is given: the proposer must not take it for a refusal.
+        // Without an outcome no reply is sent, since the proposer must not treat it as a refusal.
         let Ok(Ok(outcome)) = tokio::time::timeout(CALL_TIMEOUT * 4, receiver.recv_async()).await
         else {
             return;
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,9 +1,9 @@
-//! Brings answers from upstreams to callers, whole or not at all.
+//! Relays answers from upstreams to callers.
 //!
-//! A streamed answer is checked token by token. If its upstream breaks off,
-//! another can go on from the last token where the engine numbers them; what it
-//! repeats is left out and a gap is an error, so the caller sees each token
-//! once. An answer without its end mark is never passed off as whole.
+//! A streamed answer is checked token by token. If its upstream fails, another
+//! one can continue after the last token if the engine numbers its tokens.
+//! Repeated tokens are dropped and a gap is an error, so the caller receives each
+//! token once. A stream without its end marker is never presented as complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,10 +22,10 @@
 use crate::caller_request::{CallerRequest, RequestKind};
 use crate::core::DaemonCore;
 
-/// Event that ends a stream.
+/// End marker of a stream.
 const DONE_EVENT: &str = "data: [DONE]\n\n";
 
-/// A streamed answer on its way, over all attempts.
+/// A streamed answer, across all attempts of its request.
 pub(crate) struct StreamRelay {
     link: Arc<CallerLink>,
     tokens: u32,
@@ -33,12 +33,12 @@
     text: String,
     record: Option<String>,
     last_token: Option<Instant>,
-    /// The copy of the request whose first token is awaited.
+    /// Duplicate ticket to which the first token is reported as progress.
     duplicate: Option<Arc<DuplicateTicket>>,
 }
 
 impl StreamRelay {
-    /// Creates a relay; one that records keeps the whole answer for resends.
+    /// Creates a relay; with `records` it keeps the answer so that retries can be answered with it.
     pub(crate) fn new(link: &Arc<CallerLink>, records: bool) -> Self {
         Self {
             link: Arc::clone(link),
@@ -51,28 +51,29 @@
         }
     }
 
-    /// Lets other copies of the request go with its first token.
+    /// Sets the duplicate ticket, which releases waiting duplicates at the first token.
     pub(crate) fn with_duplicate(mut self, duplicate: &Arc<DuplicateTicket>) -> Self {
         self.duplicate = Some(Arc::clone(duplicate));
         self
     }
 
-    /// Whether part of the answer has gone to the caller.
+    /// Returns whether part of the answer has been sent to the caller.
     pub(crate) fn has_started(&self) -> bool {
         self.link.chunks().is_some()
     }
 
-    /// Whether another upstream can go on where this one stopped.
+    /// Returns whether another upstream can continue after the last token.
     pub(crate) fn is_resumable(&self) -> bool {
         self.numbered && self.record.is_none()
     }
 
-    /// What was streamed, if it was recorded.
+    /// Takes the recorded answer, if this relay records.
     pub(crate) fn take_record(&mut self) -> Option<String> {
         self.record.take()
     }
 
-    /// Body of a request that goes on after the tokens that came, none for the first attempt.
+    /// Returns the body that resumes the request after the received tokens, `None` if the answer has
+    /// not started.
     pub(crate) fn resume_body(&self, request: &CallerRequest) -> Option<Bytes> {
         let RequestKind::Completion { body, .. } = &request.kind else { return None };
         if !self.has_started() {
@@ -84,7 +85,7 @@
         Some(Bytes::from(body.to_string()))
     }
 
-    /// Relays one upstream's stream to its end, but for the end mark.
+    /// Relays one upstream's stream to its end, without the end marker.
     pub(crate) async fn run(
         &mut self,
         core: &Arc<DaemonCore>,
@@ -101,8 +102,8 @@
                 Err(_) if Instant::now() >= request.deadline => {
                     return Err(AttemptUpstreamError::DeadlinePassed { sent: true });
                 }
-                Err(_) => return Err(self.broken_answer("it fell silent")),
-                Ok(None) => return Err(self.broken_answer("it ended without its end mark")),
+                Err(_) => return Err(self.broken_answer("no data within the idle timeout")),
+                Ok(None) => return Err(self.broken_answer("it ended without the end marker")),
                 Ok(Some(Err(_))) => {
                     return Err(AttemptUpstreamError::ConnectionLost { tokens: self.tokens });
                 }
@@ -114,17 +115,17 @@
                 return Err(self.broken_answer("it is too long"));
             }
             let events =
-                parser.push(bytes).map_err(|_| self.broken_answer("it is no event stream"))?;
+                parser.push(bytes).map_err(|_| self.broken_answer("it is not an event stream"))?;
             for event in events {
-                let chunk =
-                    parse_chunk(&event).map_err(|_| self.broken_answer("an event is no chunk"))?;
+                let chunk = parse_chunk(&event)
+                    .map_err(|_| self.broken_answer("an event is not a completion chunk"))?;
                 match chunk {
                     StreamChunk::Done if finished => {
                         answer.lease.give_back();
                         return Ok(());
                     }
                     StreamChunk::Done => {
-                        return Err(self.broken_answer("it ended without a reason"));
+                        return Err(self.broken_answer("it ended without a finish reason"));
                     }
                     StreamChunk::Error => {
                         return Err(self.broken_answer("the engine reported an error"));
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Checks a token's place; false where the caller has it already.
+    /// Checks a token's index; returns false if the caller has received the token already.
     fn accept_token(
         &mut self,
         index: Option<u32>,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Passes an event on.
+    /// Forwards an event to the caller.
     async fn forward_event(&mut self, event: &str, request: &CallerRequest) {
         let mut chunk = String::with_capacity(event.len() + 16);
         for line in event.split('\n') {
@@ -198,17 +199,17 @@
 
     async fn send(&self, chunk: String) {
         if let Some(chunks) = self.link.chunks() {
-            // A caller that has gone away is noticed by who watches the link.
+            // A caller's disconnect is handled by the task that watches the link.
             let _ = chunks.send(Ok(Bytes::from(chunk))).await;
         }
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer with the end marker.
     pub(crate) async fn finish(&mut self) {
         self.send(DONE_EVENT.to_owned()).await;
     }
 
-    /// Ends a broken answer with an error and without the end mark.
+    /// Ends a failed answer with an error and without the end marker.
     pub(crate) async fn fail(&mut self, error: &[u8]) {
         self.send(format!("data: {}\n\n", String::from_utf8_lossy(error))).await;
     }
@@ -218,7 +219,7 @@
     }
 }
 
-/// Reads an answer whole, within the limits.
+/// Reads a complete answer, within the deadline and the size limit.
 pub(crate) async fn read_complete_answer(
     core: &DaemonCore,
     request: &CallerRequest,
