--- a/crates/daemon/src/digest.rs
+++ b/crates/daemon/src/digest.rs
@@ -1,15 +1,16 @@
-//! Exchanges what was observed with other daemons.
+//! Exchanges summaries of the observed state with other daemons.
 //!
-//! Who hears from whom does not depend on the size of the fleet. Every daemon
-//! speaks to the members of its own zone's authority. For each zone of its
-//! region a daemon has two reporters among that zone's members, picked by a
-//! hash: it greets them, and they tell it which of their zone's replicas serve
-//! and what their zone asks of each organisation. Nodes one by one are told to
-//! the own zone's members only, and a zone's room to the log's leader only.
+//! The number of receivers of a daemon does not depend on the size of the fleet.
+//! Every daemon sends to the members of its local zone's authority. For each zone
+//! of its region a daemon has two reporters among that zone's members, chosen by
+//! a hash: it sends them keepalives, and they report which of their zone's
+//! replicas serve and the zone's demand for each organisation. Single nodes are
+//! reported to the local zone's members only, and a zone's capacity to the
+//! leader of the configuration log only.
 //!
-//! A digest's ages are made safe by echoes: its receiver counts from when it
-//! sent the message that the digest echoes, which is surely before the digest
-//! left.
+//! Echoes make the ages in a summary safe: the receiver counts them from the time
+//! at which it sent the message that the summary echoes, which is before the
+//! summary was sent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,10 +27,10 @@
 use crate::observer::nodes_to_probe;
 use crate::zone_demand::zone_capacity;
 
-/// A daemon that has nothing to tell greets once in this many rounds.
+/// A daemon whose summary has no content sends it as a keepalive once in this many rounds.
 const KEEPALIVE_ROUNDS: u64 = 4;
 
-/// Sends digests at an even pace.
+/// Sends summaries at a fixed interval.
 pub(crate) async fn send_digests(core: Arc<DaemonCore>) {
     let mut interval = tokio::time::interval(Duration::from_millis(core.settings.timing.digest_ms));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -42,10 +43,10 @@
                 crashes: crashes.clone(),
                 ..compose_digest(&core, peer, &observed)
             };
-            // A greeting only keeps an echo alive, and an echo ages without harm.
-            let is_keepalive =
+            // A keepalive only refreshes the echo, and an older echo is still safe.
+            let keepalive_due =
                 round.is_multiple_of(KEEPALIVE_ROUNDS) || round < 2 * KEEPALIVE_ROUNDS;
-            if is_keepalive || has_content(&digest) {
+            if keepalive_due || has_content(&digest) {
                 core.send(&peer.id, PeerMessage::Digest(digest));
             }
         }
@@ -62,7 +63,7 @@
         || !digest.crashes.is_empty()
 }
 
-/// Daemons that are to hear from this one.
+/// Returns the daemons that receive summaries from this one.
 fn digest_targets(core: &DaemonCore) -> Vec<&PeerSettings> {
     let leader = core.config_log.view().leader;
     let local_members = core.zone_members(core.zone());
@@ -138,14 +139,14 @@
     }
 }
 
-/// Names the replicas that are fresh together, in place of listing them, where the receiver
-/// keeps their list; the others are listed.
+/// Replaces the list of recently observed replicas by its hash if the receiver keeps that list;
+/// the others stay listed.
 fn compress_replicas(
     replicas: Vec<ReplicaDigest>,
     known: u64,
     lease: Duration,
 ) -> (ReplicaSet, Vec<ReplicaDigest>) {
-    // One that is nearly silent must not make all others seem as old.
+    // The set has one age, so a replica that was not observed recently must not raise it for all.
     let fresh_ms = u32::try_from(lease.as_millis() / 2).unwrap_or(u32::MAX);
     let (fresh, stale): (Vec<_>, Vec<_>) =
         replicas.into_iter().partition(|replica| replica.a <= fresh_ms);
@@ -159,7 +160,7 @@
     (ReplicaSet { digest, oldest, loads: Vec::new() }, listed)
 }
 
-/// Digest of heads and epochs in order, 0 for none.
+/// Returns the hash over heads and epochs in order, 0 for none.
 fn hash_replica_set(replicas: &[ReplicaDigest]) -> u64 {
     replicas.iter().fold(0, extend_set_hash)
 }
@@ -169,7 +170,7 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(text.as_bytes(), digest).max(1)
 }
 
-/// Writes a named set out again, with the list that was kept of it.
+/// Expands a set that was sent as a hash, from the list that was kept of it.
 pub(crate) fn expand_set(set: &ReplicaSet, kept: &ListedSet) -> Vec<ReplicaDigest> {
     if set.digest == 0 || set.digest != kept.digest || set.loads.len() != kept.replicas.len() {
         return Vec::new();
@@ -185,9 +186,9 @@
         .collect()
 }
 
-/// The list of a set that came in full, to be kept.
+/// Returns the list of a set that was received in full, `None` if no set was listed.
 pub(crate) fn extract_set(set: &ReplicaSet, listed: &[ReplicaDigest]) -> Option<ListedSet> {
-    // The fresh ones come first; how many they are shows where the digest fits.
+    // The replicas of the set come first; it ends where the hash matches.
     let mut digest = 0;
     let count = listed.iter().position(|replica| {
         digest = extend_set_hash(digest, replica);
@@ -197,7 +198,7 @@
     Some(ListedSet { digest: set.digest, replicas: fresh.collect() })
 }
 
-/// Serving replicas and plain services of a zone.
+/// Returns the replicas and plain services of a zone that serve.
 fn report_replicas(fleet: &FleetView, zone: &ZoneId, now: Instant) -> Vec<ReplicaDigest> {
     let allocations = fleet.tables.get(zone).into_iter().flat_map(|table| &table.allocations);
     let mut replicas = fleet.leases.to_replica_digests(allocations, now);
@@ -206,9 +207,10 @@
     replicas
 }
 
-/// Whether a daemon of a zone is one of the two that tell another about the zone's replicas.
+/// Returns whether a daemon of a zone is one of the two reporters of the zone for another daemon.
 ///
-/// Only members of the zone are; members that this daemon knows to be silent are passed over.
+/// Only members of the zone's authority are reporters. For the local zone, silent members are
+/// skipped.
 fn is_reporter(
     core: &DaemonCore,
     fleet: &FleetView,
@@ -226,20 +228,20 @@
             *member == core.id() || !is_local || fleet.has_reported(member, within, now)
         })
         .collect();
-    // Who greets from another zone cannot know which members are silent, so it greets all of
-    // those that might report to it.
+    // A daemon of another zone does not know which members are silent, so it treats each member
+    // as a reporter.
     let chosen = choose_observers(&NodeId(to.to_string()), &members);
     chosen.contains(&id) || (!is_local && members.contains(&id))
 }
 
-/// Takes a digest that came.
+/// Handles a summary from another daemon.
 pub(crate) fn handle_digest(core: &DaemonCore, from: &DaemonId, digest: ObserverDigest) {
     let now = Instant::now();
     let Some(peer) = core.settings.peers.iter().find(|peer| peer.id == *from) else { return };
     core.crashes().merge(&digest.crashes, now);
     let source = if digest.speaks_for > 1 { peer.zone.as_str() } else { from.as_str() };
     core.limiter.record_demand(source, &peer.zone, digest.speaks_for, &digest.use_, now);
-    // An echo from the future can only be a fault, and must not lengthen a lease.
+    // An echo from the future is a fault and must not extend a lease.
     let base = digest.echo.map(|echo| (core.started + Duration::from_millis(echo)).min(now));
     if let Some(table) = &digest.table
         && let Some(member) = core.authorities().get_mut(&table.zone)
@@ -252,6 +254,7 @@
     }
 }
 
+/// Returns milliseconds since this daemon started.
 fn clock_ms(core: &DaemonCore, now: Instant) -> u64 {
     let elapsed = now.saturating_duration_since(core.started);
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
--- a/crates/daemon/src/fleet.rs
+++ b/crates/daemon/src/fleet.rs
@@ -1,8 +1,8 @@
-//! What a daemon knows of nodes: the platform's word, what was observed, and the zones' tables.
+//! A daemon's view of the fleet: the platform's list, observations of nodes, and the zones' tables.
 //!
-//! The platform's list lags, so it is weighed with what is observed: a node
-//! that answers is used although the list has dropped it, and one that does not
-//! answer is not used although the list calls it live.
+//! The platform's list lags, so it is combined with observations: a node that
+//! answers is used even if the list no longer contains it, and a node that does
+//! not answer is not used even if the list reports it live.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,63 +20,63 @@
 
 use crate::digest::{expand_set, extract_set};
 
-/// How long a node that is neither listed nor seen is remembered.
+/// Time after which a node that is neither listed nor observed is removed.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
-/// How long what another zone's authority said of its capacity counts.
+/// Time for which a zone's capacity report is valid.
 const CAPACITY_LIFETIME: Duration = Duration::from_secs(10);
 
-/// A node as it was last listed, and when.
+/// A node as last listed by the platform.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownNode {
     pub(crate) listed: PlatformNode,
     pub(crate) listed_at: Instant,
-    /// Whether the latest list names it.
+    /// Whether the latest list contains it.
     pub(crate) in_list: bool,
-    /// When it came back after a loss or restart, so that it must first prove stable.
+    /// When it returned after a loss or restart; it is unusable for a lease afterwards.
     pub(crate) returned: Option<Instant>,
 }
 
-/// What is known of another daemon.
+/// State of another daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct KnownPeer {
-    /// When a digest last came.
+    /// When the last summary was received.
     pub(crate) last_received: Instant,
-    /// Its clock in the latest digest, to echo.
+    /// The sender's clock in the latest summary, to be echoed.
     pub(crate) sender_clock_ms: u64,
-    /// Newest version of this daemon's zone's table that it holds.
+    /// Term and version of the local zone's table that it holds.
     pub(crate) table_precedence: (u64, u64),
-    /// Digest of the set of this daemon's replicas that it keeps the list of.
+    /// Hash of the set of replicas from this daemon whose list it keeps.
     pub(crate) known_set: u64,
-    /// The set of its replicas that it last listed.
+    /// The set of replicas that it last listed.
     pub(crate) listed: ListedSet,
 }
 
-/// Heads and epochs of replicas that are named by a digest.
+/// Heads and epochs of a set of replicas that is identified by a hash.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ListedSet {
     pub(crate) digest: u64,
     pub(crate) replicas: Vec<(NodeId, Epoch)>,
 }
 
-/// What a zone's authority said that it could run.
+/// Capacity that a zone's authority has reported.
 #[derive(Clone, Debug)]
 pub(crate) struct ReportedCapacity {
     pub(crate) at: Instant,
-    /// How far the authority had applied the configuration when it said so.
+    /// Index up to which the authority had applied the configuration.
     pub(crate) applied: LogIndex,
     pub(crate) groups: Vec<ZoneCapacity>,
 }
 
-/// What a daemon knows of nodes and of other daemons.
+/// View of nodes and of other daemons.
 pub(crate) struct FleetView {
     pub(crate) nodes: BTreeMap<NodeId, KnownNode>,
     pub(crate) leases: LeaseTable,
     pub(crate) tables: BTreeMap<ZoneId, ZoneTable>,
     pub(crate) peers: BTreeMap<DaemonId, KnownPeer>,
     pub(crate) capacity: BTreeMap<ZoneId, ReportedCapacity>,
-    /// Nodes at which this daemon lately found nothing listening.
+    /// Nodes without an observation that recently refused a connection, and when.
     pub(crate) gone: BTreeMap<NodeId, Instant>,
-    /// Nodes that refused an order in the name of another owner.
+    /// Nodes that refused an order because another owner holds them.
     pub(crate) foreign: BTreeMap<NodeId, String>,
     pub(crate) listed_once: bool,
 }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes the platform's list; returns whether anything changed that routes depend on.
+    /// Records the platform's list; returns whether anything changed that routes depend on.
     pub(crate) fn record_list(&mut self, list: PlatformList, now: Instant) -> bool {
         let mut changed = false;
         for node in self.nodes.values_mut() {
@@ -123,7 +123,7 @@
         changed || before != self.nodes.len()
     }
 
-    /// Takes a sighting and notes returns after a loss or restart.
+    /// Records an observation and whether the node returned after a loss or restart.
     pub(crate) fn record_observation(
         &mut self,
         id: &NodeId,
@@ -145,7 +145,7 @@
         self.leases.observe(id, observation);
     }
 
-    /// Notes that nothing listens at a node.
+    /// Records that a node refused a connection.
     pub(crate) fn record_loss(&mut self, id: &NodeId, at: Instant) {
         self.leases.observe_loss(id, at);
         if self.leases.observation(id).is_none() {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Takes another daemon's digest; returns whether a zone's table changed.
+    /// Records another daemon's summary; returns whether a zone's table changed.
     pub(crate) fn record_digest(
         &mut self,
         from: (&DaemonId, &ZoneId),
@@ -163,7 +163,7 @@
     ) -> bool {
         let (id, zone) = from;
         let held = Duration::from_millis(u64::from(digest.held));
-        // Without an echo nothing is known about when the digest left, so its ages mean nothing.
+        // Without an echo the time of sending is unknown, so the ages cannot be used.
         if let Some(base) = base {
             for node in &digest.nodes {
                 let known = self.leases.observation(&node.n);
@@ -210,7 +210,7 @@
         digest.table.is_some_and(|table| self.record_table(table))
     }
 
-    /// Takes a zone's table unless a newer one is known.
+    /// Records a zone's table if it is newer than the known one; returns whether it is.
     pub(crate) fn record_table(&mut self, table: ZoneTable) -> bool {
         let newer = self.tables.get(&table.zone).is_none_or(|known| known.rank() < table.rank());
         if newer {
@@ -219,19 +219,19 @@
         newer
     }
 
-    /// Rank of a zone's table, zeros where none is known.
+    /// Returns term and version of a zone's table, zeros if none is known.
     pub(crate) fn table_precedence(&self, zone: &ZoneId) -> (u64, u64) {
         self.tables.get(zone).map_or((0, 0), |table| (*table.term, table.version))
     }
 
-    /// Whether a daemon was heard of lately.
+    /// Returns whether a summary of a daemon was received within this time.
     pub(crate) fn has_reported(&self, id: &DaemonId, within: Duration, now: Instant) -> bool {
         self.peers
             .get(id)
             .is_some_and(|peer| now.saturating_duration_since(peer.last_received) < within)
     }
 
-    /// Capacity that zones' authorities reported lately.
+    /// Returns the capacity reports that are still valid.
     pub(crate) fn fresh_capacity(&self, now: Instant) -> BTreeMap<&ZoneId, &ReportedCapacity> {
         let fresh = |report: &ReportedCapacity| {
             now.saturating_duration_since(report.at) < CAPACITY_LIFETIME
@@ -243,12 +243,12 @@
         self.nodes.get(id)?.listed.address.parse().ok()
     }
 
-    /// All allocations, with their zone.
+    /// Returns all allocations, with their zone.
     pub(crate) fn allocations(&self) -> impl Iterator<Item = (&ZoneId, &Allocation)> {
         self.tables.values().flat_map(|table| table.allocations.iter().map(|a| (&table.zone, a)))
     }
 
-    /// Nodes of a zone that run a plain service.
+    /// Returns the nodes that run a plain service.
     pub(crate) fn service_nodes(
         &self,
     ) -> impl Iterator<Item = (&NodeId, &KnownNode, &ServiceName)> {
@@ -258,7 +258,7 @@
         })
     }
 
-    /// Whether a node is about to be stopped, by the platform's or an operator's word.
+    /// Returns whether the platform or an operator has marked a node to be stopped.
     pub(crate) fn is_leaving(&self, id: &NodeId, config: &ConfigState) -> bool {
         let listed = self.nodes.get(id).is_some_and(|n| n.listed.state == PlatformState::Leaving);
         let labelled =
@@ -266,7 +266,7 @@
         listed || labelled
     }
 
-    /// Why a node cannot be used now, if it cannot.
+    /// Returns why a node cannot be used now, `None` if it can.
     pub(crate) fn unusable_reason(
         &self,
         id: &NodeId,
@@ -276,24 +276,24 @@
         let lease = self.leases.lease();
         let Some(observation) = self.leases.observation(id) else {
             let gone = self.gone.contains_key(id);
-            let why = if gone { "nothing listens at it" } else { "it was not seen yet" };
+            let why = if gone { "its address refuses connections" } else { "not observed yet" };
             return Some(why.to_owned());
         };
         let silent = now.saturating_duration_since(observation.seen);
         if silent > lease {
-            return Some(format!("not seen for {:.1} s", silent.as_secs_f64()));
+            return Some(format!("not observed for {:.1} s", silent.as_secs_f64()));
         }
         if observation.state == hollowbarrow_schema::NodeState::Failed {
-            return Some("its engine says that it failed".to_owned());
+            return Some("its engine reports a failure".to_owned());
         }
         let returned = node.returned.map(|at| now.saturating_duration_since(at));
         if returned.is_some_and(|since| since < lease) {
-            return Some("it came back a moment ago".to_owned());
+            return Some("returned after a loss or restart less than a lease ago".to_owned());
         }
         None
     }
 
-    /// The planner's view of a zone's nodes.
+    /// Returns the planner's view of a zone's nodes.
     pub(crate) fn node_views(
         &self,
         zone: &ZoneId,
@@ -331,7 +331,7 @@
             .collect()
     }
 
-    /// Number of a group's replicas that serve, over all zones.
+    /// Returns the number of a group's serving replicas over all zones.
     pub(crate) fn serving_count(&self, group: &GroupName, now: Instant) -> u32 {
         let serving = self
             .allocations()
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list and probes the nodes that fall to this daemon.
+//! Polls the platform's list of nodes and probes the nodes assigned to this daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::core::DaemonCore;
 
-/// Reads the platform's list again and again.
+/// Polls the platform's list of nodes.
 pub(crate) async fn watch_platform(core: Arc<DaemonCore>) {
     let interval = Duration::from_millis(core.settings.timing.platform_ms);
     let mut failing = false;
@@ -26,7 +26,7 @@
                 }
             }
             Ok(Err(error)) if !failing => {
-                // An unread list changes nothing: what was known goes on holding.
+                // The last known list stays valid while the platform cannot be read.
                 failing = true;
                 log::warn!("event=platform_unread reason={:?}", error.to_string());
             }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Probes this daemon's share of its zone's nodes at an even pace.
+/// Probes this daemon's share of its zone's nodes at a fixed interval.
 pub(crate) async fn probe_nodes(core: Arc<DaemonCore>) {
     let mut interval = tokio::time::interval(Duration::from_millis(core.settings.timing.probe_ms));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -50,7 +50,7 @@
     }
 }
 
-/// Nodes of the own zone that this daemon observes, given who else is there to do it.
+/// Returns the nodes of the local zone that this daemon probes, given which other daemons report.
 pub(crate) fn nodes_to_probe(core: &DaemonCore) -> Vec<NodeId> {
     let now = Instant::now();
     let fleet = core.fleet();
@@ -84,7 +84,7 @@
             log::warn!("event=probe_other_node wanted={} found={}", *node, *report.node);
         }
         Err(ProbeNodeError::NotReport) if is_service(&core, &node) => {
-            // A plain service that knows nothing of hollowbarrow answers, so it is there.
+            // A plain service does not implement the report; any answer shows that it is running.
             let report = NodeReport {
                 node: node.clone(),
                 start: StartId(0),
--- a/crates/daemon/src/quota.rs
+++ b/crates/daemon/src/quota.rs
@@ -1,10 +1,10 @@
 //! Divides each group's replicas among the availability zones.
 //!
-//! Only the leader of the configuration's log does this, and the division is an
-//! entry of that log, so a zone that is cut off goes on with its last quota.
-//! A zone that is not heard of keeps its quota; for urgent groups the others
-//! run as many more as they can until it is back, because that buys uptime with
-//! accelerators that would be idle.
+//! Only the leader of the configuration log does this, and the division is an
+//! entry of that log, so a partitioned zone continues with its last quota.
+//! A zone that does not report keeps its quota. For urgent groups the other
+//! zones run as many additional replicas as they can until it reports again,
+//! because that improves availability with accelerators that would be idle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,22 +20,22 @@
 use crate::fleet::ReportedCapacity;
 use crate::zone_demand::zone_capacity;
 
-/// Pause between two looks at the quotas.
+/// Pause between two checks of the quotas.
 const STEP_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a new group waits for zones that have not reported their room yet.
+/// Timeout of a new group for the reports of zones that have not reported their capacity yet.
 ///
-/// Divided at once, it would be crowded into the zones that happened to report first.
+/// Dividing at once would place all replicas in the zones that happened to report first.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Name under which the leader makes changes.
+/// Author of the leader's changes.
 const AUTHOR: &str = "hollowbarrow/quota";
 
-/// What a zone says that it could run, none where it is not heard of.
+/// Number of a group's replicas that a zone reports it could run, `None` if it does not report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ZoneReplicaCapacity {
     pub(crate) possible: Option<u32>,
 }
 
-/// Divides a group's replicas; a pure function of what is known.
+/// Divides a group's replicas among zones, from the present division and the zones' capacities.
 pub(crate) fn divide_replicas(
     spec: &GroupSpec,
     present: &BTreeMap<String, u32>,
@@ -54,12 +54,12 @@
         };
         counts.insert(zone.to_string(), kept);
     }
-    // Replicas in a silent zone may well serve; only urgent groups are doubled for them.
+    // Replicas in a silent zone may still serve; only urgent groups get replacements for them.
     let replacements = if spec.urgency == Urgency::Urgent { silent } else { 0 };
-    let wanted = spec.count + replacements;
+    let target = spec.count + replacements;
     let reporting: Vec<(&ZoneId, u32)> =
         zones.iter().filter_map(|(zone, capacity)| Some((zone, capacity.possible?))).collect();
-    while counts.values().sum::<u32>() < wanted {
+    while counts.values().sum::<u32>() < target {
         let next = reporting
             .iter()
             .filter(|(zone, possible)| counts[zone.as_str()] < *possible)
@@ -67,7 +67,7 @@
         let Some((zone, _)) = next else { break };
         *counts.entry(zone.to_string()).or_default() += 1;
     }
-    while counts.values().sum::<u32>() > wanted {
+    while counts.values().sum::<u32>() > target {
         let heaviest = reporting
             .iter()
             .filter(|(zone, _)| counts[zone.as_str()] > 0)
@@ -79,7 +79,7 @@
     counts
 }
 
-/// Looks after the quotas while this daemon leads the configuration's log.
+/// Updates the quotas while this daemon leads the configuration log.
 pub(crate) async fn maintain_quotas(core: Arc<DaemonCore>) {
     let mut timers = QuotaTimers::default();
     loop {
@@ -103,11 +103,12 @@
     }
 }
 
-/// Quotas that differ from the present ones.
+/// Returns the quotas that differ from the present ones.
 ///
-/// A zone that has not yet applied its last quota reports room that is taken
-/// already, and two groups may be offered the same nodes; so a zone gets more
-/// of one group at a time, and only on a report made after the last change.
+/// A zone that has not yet applied its last quota reports capacity that is
+/// already assigned, and the same nodes may be counted for two groups. So a zone
+/// gets additional replicas of one group at a time, and only after it has
+/// reported with the last change applied.
 fn changed_quotas(core: &DaemonCore, timers: &mut QuotaTimers) -> Vec<Quota> {
     let now = Instant::now();
     let (applied, groups) = zone_capacity(core, now);
@@ -156,10 +157,10 @@
     })
 }
 
-/// How long a zone's lack of room must last before a group's replicas move elsewhere.
+/// Returns how long a zone's shortage of capacity must last before a group's replicas move.
 ///
-/// Moving costs a load of weights elsewhere, and the node may be back first; the
-/// more pressing the group, the less it waits for that.
+/// Moving requires loading weights elsewhere, and the node may return before that
+/// completes. More urgent groups wait less.
 fn shortage_timeout(urgency: Urgency) -> Duration {
     match urgency {
         Urgency::Urgent => Duration::from_millis(500),
@@ -168,7 +169,7 @@
     }
 }
 
-/// What the leader remembers between two looks.
+/// Start times that the leader keeps between two checks.
 #[derive(Debug, Default)]
 struct QuotaTimers {
     short_since: BTreeMap<(GroupName, ZoneId), Instant>,
@@ -176,7 +177,7 @@
 }
 
 impl QuotaTimers {
-    /// A zone's room, with a shortage counted only once it has lasted.
+    /// Returns a zone's capacity; a shortage is ignored until it has lasted for the timeout.
     fn debounce_shortage(
         &mut self,
         of: (&GroupSpec, &ZoneId),
@@ -194,7 +195,7 @@
         if waited < shortage_timeout(of.0.urgency) { current } else { possible }
     }
 
-    /// Whether a new group has waited long enough for zones that do not report.
+    /// Returns whether a new group has waited `REPORT_TIMEOUT` for zones that do not report.
     fn has_waited(&mut self, group: &GroupName, now: Instant) -> bool {
         let since = *self.new_since.entry(group.clone()).or_insert(now);
         now.saturating_duration_since(since) >= REPORT_TIMEOUT
--- a/crates/daemon/src/table_change.rs
+++ b/crates/daemon/src/table_change.rs
@@ -1,4 +1,4 @@
-//! A change of a zone's table, and the orders that follow from a settled one.
+//! A change of a zone's table, and the orders derived from a settled table.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::core::wall_ms;
 use crate::fleet::FleetView;
 
-/// An order for a node, with the epoch that fences it.
+/// An order for a node, with its fencing epoch.
 pub(crate) type NodeOrderEntry = (NodeId, Epoch, NodeOrder);
 
 /// One change of the zone's table.
@@ -73,7 +73,7 @@
     }
 }
 
-/// Load orders for the members of a replica that have not taken theirs.
+/// Returns load orders for the members of a replica that have not accepted theirs yet.
 pub(crate) fn load_orders(fleet: &FleetView, allocation: &Allocation) -> Vec<NodeOrderEntry> {
     let needs_order = |member: &NodeId| {
         fleet
@@ -100,7 +100,7 @@
         .collect()
 }
 
-/// A drain order for a replica's head, unless it drains already.
+/// Returns a drain order for a replica's head if it is ready, so not draining yet.
 pub(crate) fn drain_order(fleet: &FleetView, allocation: &Allocation) -> Option<NodeOrderEntry> {
     let head = allocation.head();
     let ready = fleet.leases.observation(head).is_some_and(|s| s.state == NodeState::Ready);
--- a/crates/daemon/src/zone_authority.rs
+++ b/crates/daemon/src/zone_authority.rs
@@ -1,14 +1,14 @@
 //! The authorities of availability zones that this daemon is a member of.
 //!
-//! Whatever an authority has to say goes out when it is let go of here, so no
-//! caller can forget to send it.
+//! All access goes through [`with_authority`], which sends the outgoing messages
+//! after each action, so no caller can omit that.
 
 use hollowbarrow_schema::{AuthorityMessage, DaemonId, PeerMessage, ZoneId};
 use tokio::time::Instant;
 
 use crate::core::DaemonCore;
 
-/// Lets time pass for all of them.
+/// Advances the time of all authorities.
 pub(crate) fn tick_authorities(core: &DaemonCore) {
     let now = Instant::now();
     let zones: Vec<ZoneId> = core.authorities().keys().cloned().collect();
@@ -17,7 +17,7 @@
     }
 }
 
-/// Takes a message between the members of a zone.
+/// Handles a message from another member of a zone's authority.
 pub(crate) fn handle_authority_message(
     core: &DaemonCore,
     from: &DaemonId,
@@ -28,7 +28,7 @@
     with_authority(core, zone, |member| member.step(from, message, now));
 }
 
-/// Acts on a member, sends what it wants sent, and shows its table to the routes.
+/// Runs an action on a member, sends its outgoing messages, and updates the routes from its table.
 pub(crate) fn with_authority<T>(
     core: &DaemonCore,
     zone: &ZoneId,
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -1,13 +1,13 @@
-//! Keeps the groups of the own availability zone while this daemon is its authority.
+//! Reconciles the groups of the local availability zone while this daemon is its authority.
 //!
-//! Each step compares the zone's table with what is asked for and what is
-//! observed, changes the table through the zone's members, and gives orders for
-//! what they have taken in. A controller that is not the authority does nothing.
+//! Each step compares the zone's table with the desired groups and the observed
+//! nodes, changes the table through the zone's members, and sends orders for the
+//! settled table. A controller that is not the authority does nothing.
 //!
-//! Invariants: an order is given only for an allocation in the settled table,
-//! under that allocation's epoch, and only if it surely ends before the
-//! authority's lease does; a replica that can still serve is drained before its
-//! nodes are given to another.
+//! Invariants: an order is sent only for an allocation in the settled table, with
+//! that allocation's epoch, and only if its timeout ends before the authority's
+//! lease; a replica that can still serve is drained before its nodes are assigned
+//! to another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,11 +29,11 @@
 use crate::zone_authority::{tick_authorities, with_authority};
 use crate::zone_demand::{replica_view, zone_demands};
 
-/// Pause between two steps.
+/// Pause between two reconciliation steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// An order may take this part of the authority's lease at the longest.
+/// The timeout of an order is the authority's lease divided by this.
 const ORDER_TIMEOUT_DIVISOR: u64 = 4;
-/// Pause before an order without effect is given again.
+/// Pause before an order that had no effect is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 struct OrderResult {
@@ -42,7 +42,7 @@
     outcome: Result<(), SendOrderError>,
 }
 
-/// Keeps the groups of one zone.
+/// Reconciles the groups of one zone.
 pub(crate) struct ZoneController {
     core: Arc<DaemonCore>,
     stages: ReplicaStages,
@@ -51,7 +51,7 @@
     last_step: Instant,
 }
 
-/// Runs the authorities that this daemon is a member of, and the controller of its own zone.
+/// Runs the authorities that this daemon is a member of, and the controller of the local zone.
 pub(crate) async fn control_zones(core: Arc<DaemonCore>) {
     let mut controller = ZoneController {
         core: Arc::clone(&core),
@@ -73,7 +73,7 @@
         let elapsed = now.saturating_duration_since(self.last_step);
         self.last_step = now;
         let Some(table) = self.sync_stages(now) else { return };
-        // A daemon that has just started has not yet had time to see who is there.
+        // A daemon that has just started has not observed the nodes for long enough yet.
         let informed = now >= self.core.started + self.core.lease() * 2;
         if !informed || !self.core.fleet().listed_once {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Brings the stages in line with the zone's table; the table, if it can be acted on.
+    /// Updates the stages from the zone's table; returns the table if it is settled.
     fn sync_stages(&mut self, now: Instant) -> Option<ZoneTable> {
         let core = Arc::clone(&self.core);
         let authorities = core.authorities();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Adds the time that has passed to group downtime and stranded accelerators.
+    /// Adds the elapsed time to group downtime and stranded accelerators.
     fn record_zone_metrics(&self, table: &ZoneTable, elapsed: Duration, now: Instant) {
         let core = &self.core;
         core.config_log.read(|config| {
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Plans and changes the table; returns whether it did.
+    /// Plans and changes the table; returns whether it changed.
     fn change_table(&mut self, table: &ZoneTable, now: Instant) -> bool {
         let core = Arc::clone(&self.core);
         let plan = core.config_log.read(|config| self.plan(config, table, now));
@@ -196,7 +196,8 @@
             .plan()
     }
 
-    /// Whether a replica that should be there is known not to be what was ordered.
+    /// Returns whether a replica exceeds its load time, or one of its members has restarted or has
+    /// another epoch.
     fn has_failed(&self, fleet: &FleetView, allocation: &Allocation, now: Instant) -> bool {
         let name = (allocation.group.clone(), allocation.slot);
         let load_limit = Duration::from_millis(self.core.settings.timing.load_ms);
@@ -210,7 +211,7 @@
         slow || changed
     }
 
-    /// Replicas whose members have all loaded, with the members' starts.
+    /// Returns replicas whose members have all loaded, with the members' start ids.
     fn newly_loaded(
         &self,
         table: &ZoneTable,
@@ -234,7 +235,7 @@
             .collect()
     }
 
-    /// Draining replicas that have nothing in flight, or have had their time.
+    /// Returns draining replicas that have nothing in flight or have reached the drain timeout.
     fn drained(&self, table: &ZoneTable, now: Instant) -> BTreeSet<ReplicaName> {
         let fleet = self.core.fleet();
         let lease = self.core.lease();
@@ -244,7 +245,7 @@
             let name = (allocation.group.clone(), allocation.slot);
             let Some(ReplicaStage::Draining(lifecycle)) = self.stages.get(&name) else { continue };
             let since = now.saturating_duration_since(lifecycle.entered());
-            // Until every daemon's lease of this replica has run out, some may still send.
+            // Daemons may still send requests until their leases of this replica have expired.
             let settled_at = lifecycle.entered() + lease * 2;
             let idle = fleet
                 .leases
@@ -257,14 +258,14 @@
         drained
     }
 
-    /// Forms that the weights store's limit leaves room for, most urgent first.
+    /// Returns the new replicas that fit the limit of concurrent loads, most urgent first.
     fn limit_loads(&self, plan: &ZonePlan, table: &ZoneTable) -> Vec<NewReplica> {
         let loading = table.allocations.iter().filter(|a| a.starts.is_empty()).count();
-        let room = (self.core.settings.limits.loads as usize).saturating_sub(loading);
-        plan.forms.iter().take(room).cloned().collect()
+        let free_loads = (self.core.settings.limits.loads as usize).saturating_sub(loading);
+        plan.forms.iter().take(free_loads).cloned().collect()
     }
 
-    /// Own nodes that hold something without being in any replica, to be released.
+    /// Returns the epoch increment that is needed to release stray nodes: 1 or 0.
     fn stray_epoch_increment(&self, table: &ZoneTable, forms: &[NewReplica], now: Instant) -> u64 {
         let strays = self.list_strays(table, now);
         let reserved: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
@@ -273,10 +274,11 @@
                 self.last_orders.get(node).is_some_and(|(sent_epoch, _)| sent_epoch > epoch);
             !last_orders && !reserved.contains(node) && *epoch >= table.high_epoch
         });
-        // An epoch above all others is needed only where a stray holds the highest one.
+        // A higher epoch is needed only if a stray node holds the highest one.
         u64::from(fresh.count() > 0)
     }
 
+    /// Returns owned nodes that are not idle although they are in no replica, with their epochs.
     fn list_strays(&self, table: &ZoneTable, now: Instant) -> Vec<(NodeId, Epoch)> {
         let core = &self.core;
         let fleet = core.fleet();
@@ -325,10 +327,11 @@
         let recent = self.last_orders.get(&node).is_some_and(|(sent_epoch, at)| {
             *sent_epoch == epoch && now.saturating_duration_since(*at) < ORDER_RETRY_INTERVAL
         });
-        let left = self.core.authorities().get(self.core.zone()).and_then(|m| m.remaining(now));
+        let remaining =
+            self.core.authorities().get(self.core.zone()).and_then(|m| m.remaining(now));
         let timeout =
             Duration::from_millis(self.core.settings.timing.authority_ms / ORDER_TIMEOUT_DIVISOR);
-        let in_time = left.is_some_and(|left| left > timeout);
+        let in_time = remaining.is_some_and(|remaining| remaining > timeout);
         let Some(address) = self.core.fleet().address(&node) else { return };
         if recent || !in_time {
             return;
@@ -357,13 +360,13 @@
             if refusal.owner == self.core.settings.owner || refusal.owner.is_empty() {
                 self.raise_epoch(refusal.epoch, now);
             } else {
-                // Another system holds the node: step back from it.
+                // Another system owns the node, so it is excluded from planning.
                 self.core.fleet_mut().foreign.insert(result.node, refusal.owner);
             }
         }
     }
 
-    /// Makes later epochs higher than one that a node already holds.
+    /// Raises the table's highest epoch to one that a node already holds.
     fn raise_epoch(&self, node_epoch: Epoch, now: Instant) {
         with_authority(&self.core, self.core.zone(), |member| {
             let behind =
@@ -376,7 +379,7 @@
     }
 }
 
-/// Whether a drain reason leaves requests in flight to wait for.
+/// Describes how and why a replica is drained.
 pub(crate) fn describe_drain(reason: &DrainReason) -> String {
     let how = if reason.is_loss() { "dissolved at once" } else { "drained" };
     format!("{how}: {reason}")
--- a/crates/daemon/src/zone_demand.rs
+++ b/crates/daemon/src/zone_demand.rs
@@ -1,4 +1,4 @@
-//! What is asked of an availability zone, and what it has room for.
+//! Desired groups of an availability zone, and its capacity.
 
 use hollowbarrow_planner::{GroupDemand, GroupPlanner, ReplicaView};
 use hollowbarrow_schema::{Allocation, AllocationPhase, LogIndex, ZoneCapacity, ZoneId};
@@ -8,7 +8,7 @@
 use crate::core::DaemonCore;
 use crate::fleet::FleetView;
 
-/// What the zone is asked to run, by the accepted configuration.
+/// Returns the groups that the zone must run, by the applied configuration.
 pub(crate) fn zone_demands(config: &ConfigState, zone: &ZoneId) -> Vec<GroupDemand> {
     config
         .groups()
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// The planner's view of a replica.
+/// Returns the planner's view of a replica.
 pub(crate) fn replica_view(
     fleet: &FleetView,
     allocation: &Allocation,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The planner of a zone as this daemon sees it now.
+/// Returns a planner for the local zone in its observed state.
 pub(crate) fn zone_planner(core: &DaemonCore, config: &ConfigState, now: Instant) -> GroupPlanner {
     let fleet = core.fleet();
     let zone = core.zone();
@@ -47,8 +47,8 @@
     GroupPlanner::new(zone_demands(config, zone)).with_nodes(nodes).with_replicas(replicas)
 }
 
-/// What each group could run in the own zone, and how far the configuration was applied then;
-/// empty unless this daemon is the zone's authority.
+/// Returns the replicas of each group that the local zone could run, and the index up to which the
+/// configuration was applied; empty unless this daemon is the zone's authority.
 pub(crate) fn zone_capacity(core: &DaemonCore, now: Instant) -> (LogIndex, Vec<ZoneCapacity>) {
     let is_authority =
         core.authorities().get(core.zone()).is_some_and(|m| m.remaining(now).is_some());
