--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Puts a daemon together, runs it and stops it.
+//! Assembles, starts and stops a daemon.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -37,60 +37,60 @@
 use crate::zone_authority::{handle_authority_message, with_authority};
 use crate::zone_control::control_zones;
 
-/// Prompt blocks whose holders are remembered.
+/// Largest number of prompt blocks for which the picker records the upstreams that cache them.
 const PREFIX_BLOCKS: usize = 65_536;
-/// Callers that may wait to be accepted.
+/// Length of the queue of callers' connections that wait to be accepted.
 const CALLER_BACKLOG: u32 = 4096;
-/// Pause between two tidyings of the picker's counts.
+/// Interval at which the state of removed upstreams is pruned.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two looks at what is still in flight while stopping.
+/// Pause between two checks for requests in flight during shutdown.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// Time for handed-over roles to be taken up before the daemon goes.
+/// Time for other daemons to take over this daemon's roles before it stops.
 const HAND_OVER_WAIT: Duration = Duration::from_millis(200);
 
 /// Why a daemon could not start.
 #[derive(Debug, Error)]
 pub enum StartDaemonError {
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {address}, set as {field}")]
     Listen {
-        /// Setting that names the address.
+        /// Setting that contains the address.
         field: &'static str,
         /// The address.
         address: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
     /// The operators' interface cannot be served.
     #[error("cannot serve operators on {address}: {reason}")]
     Operators {
-        /// Where it should listen.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// Cause.
         reason: String,
     },
-    /// A log's folder cannot be used.
+    /// A log's data folder cannot be opened.
     #[error("cannot open the log {name}")]
     OpenLog {
-        /// Which log.
+        /// Name of the log.
         name: &'static str,
-        /// Why.
+        /// Cause.
         source: StoreLogError,
     },
-    /// Connections between daemons cannot be served.
+    /// The mesh of connections between daemons cannot be started.
     #[error("cannot serve other daemons")]
     Mesh(#[from] StartMeshError),
-    /// The file for spans cannot be opened.
+    /// The trace file cannot be opened.
     #[error("cannot open the trace file {path}")]
     TraceFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
 }
 
-/// Listening sockets of a daemon, bound before it starts so that ports can be the kernel's choice.
+/// Listening sockets of a daemon, bound before it starts so that the kernel can assign ports.
 #[derive(Debug)]
 pub struct DaemonListeners {
     callers: TcpListener,
@@ -99,11 +99,11 @@
 }
 
 impl DaemonListeners {
-    /// Binds the addresses that the settings name; must be called on a runtime.
+    /// Binds the addresses of the settings; must be called within a Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Names the setting whose address cannot be listened on.
+    /// Fails if an address cannot be bound; the error names the setting.
     pub fn bind(settings: &Settings) -> Result<Self, StartDaemonError> {
         let bind = |field: &'static str, address: &str| {
             TcpListener::bind(address).map_err(|source| StartDaemonError::Listen {
@@ -127,17 +127,17 @@
         })
     }
 
-    /// Uses a socket that is bound already towards other daemons.
+    /// Uses an already bound socket for connections from other daemons.
     pub fn with_peers(mut self, peers: TcpListener) -> Self {
         self.peers = peers;
         self
     }
 }
 
-/// Listens for callers with a queue long enough for a burst of them.
+/// Listens for callers with a backlog long enough for bursts.
 ///
-/// The standard library's queue of 128 made the rest of 400 callers at once wait a second for
-/// their second try.
+/// The standard library's backlog is 128. Of 400 callers that connect at once, the rest would wait
+/// a second until they retry the connection.
 fn listen_with_backlog(address: &str) -> std::io::Result<TcpListener> {
     let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidInput);
     let address: SocketAddr = address.parse().map_err(|_| invalid())?;
@@ -151,7 +151,7 @@
     socket.listen(CALLER_BACKLOG)?.into_std()
 }
 
-/// One entry node.
+/// A running daemon.
 pub struct Daemon {
     core: Arc<DaemonCore>,
     callers: SocketAddr,
@@ -159,7 +159,7 @@
     stop: watch::Sender<bool>,
 }
 
-/// Stops a daemon from elsewhere.
+/// Shared handle of a daemon, for example to stop it from another task.
 pub type DaemonHandle = Arc<Daemon>;
 
 impl Daemon {
@@ -167,12 +167,12 @@
     ///
     /// # Errors
     ///
-    /// Fails where a socket, folder or file that the settings name cannot be used.
+    /// Fails if a socket, folder or file of the settings cannot be used.
     pub fn start(settings: Settings, listeners: DaemonListeners) -> Result<Self, StartDaemonError> {
         Self::start_with(settings, listeners, false)
     }
 
-    /// Starts a daemon that, for comparisons, may rebuild all replicas at any loss.
+    /// Starts a daemon; with `rebuild_all`, any loss rebuilds all replicas, for comparisons.
     ///
     /// # Errors
     ///
@@ -212,18 +212,18 @@
         Ok(Self { core, callers, operators, stop })
     }
 
-    /// Where callers connect.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where operators connect.
+    /// Returns the address for operators.
     pub fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Stops as planned: turns readiness off, goes on until the balancer has seen it, lets what
-    /// is in flight end, hands over its roles, and returns.
+    /// Stops gracefully: turns readiness off, serves until the load balancer has noticed that,
+    /// hands over its roles, waits for requests in flight, and returns.
     pub async fn stop(&self) {
         let core = &self.core;
         let timing = &core.settings.timing;
@@ -322,7 +322,8 @@
         .map_err(|source| StartDaemonError::OpenLog { name, source })
 }
 
-/// Members of this daemon's zone's authority, and of the zones that it witnesses for.
+/// Creates this daemon's members of zone authorities: of the local zone and of zones for which it
+/// is the witness.
 fn build_authorities(settings: &Settings, now: Instant) -> BTreeMap<ZoneId, AuthorityMember> {
     let mut authorities = BTreeMap::new();
     for zone in settings.peers.iter().map(|peer| &peer.zone) {
@@ -337,7 +338,7 @@
             let path = Path::new(data).join(format!("table-{}", **zone));
             Box::new(FileTableStore { path }) as Box<dyn TableStore>
         });
-        // A witness stands only when the zone's own daemons have had their chance.
+        // A witness becomes a candidate later than the zone's own daemons.
         let delay = if *zone == settings.zone { 0.0 } else { 1.0 };
         let jitter = (delay + rand::random::<f64>()) / 2.0;
         authorities.insert(zone.clone(), AuthorityMember::new(config, store, jitter, now));
@@ -345,7 +346,7 @@
     authorities
 }
 
-/// Keeps a zone's table in a file.
+/// Stores a zone's table in a file.
 struct FileTableStore {
     path: std::path::PathBuf,
 }
@@ -396,7 +397,7 @@
     match message {
         PeerMessage::Fleet(FleetMessage::PermitAsk(ask)) => handle_permit_ask(core, from, &ask),
         PeerMessage::Fleet(FleetMessage::PermitGrant(grant)) => handle_permit_grant(core, &grant),
-        // Gateways and controllers form clusters of their own.
+        // Other fleet messages belong to clusters of gateways and controllers.
         PeerMessage::Fleet(_) => log::debug!("event=message_refused peer={}", **from),
         PeerMessage::Log { name: LogName::Config, message } => {
             core.config_log.deliver(from, message);
@@ -417,7 +418,7 @@
     }
 }
 
-/// Rebuilds the routes whenever the accepted configuration moves on.
+/// Rebuilds the routes whenever the applied configuration changes.
 async fn follow_config(core: Arc<DaemonCore>) {
     let mut views = core.config_log.watch();
     let mut applied = hollowbarrow_schema::LogIndex(0);
@@ -430,7 +431,7 @@
     }
 }
 
-/// Drops counts of upstreams that nothing depends on any more.
+/// Prunes counts, backoffs and rate limits of upstreams that no route uses any more.
 async fn prune_upstream_state(core: Arc<DaemonCore>) {
     loop {
         tokio::time::sleep(PRUNE_INTERVAL).await;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,8 +1,8 @@
-//! The operators' interface.
+//! The operators' HTTP interface.
 //!
-//! It is small and rarely asked, so it is served by the house's HTTP library,
-//! a thread a request. Everything but readiness and metrics needs an
-//! operator's key.
+//! It is small and rarely used, so it is served by a synchronous HTTP library
+//! with one thread per request. Everything except readiness and metrics requires
+//! an operator's key.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -26,14 +26,14 @@
 use crate::operator_view::{daemon_status, dry_run, explain_group, group_statuses, node_statuses};
 use crate::proposals::ProposeEntryError;
 
-/// Longest wait for a change's outcome.
+/// Timeout for a change's outcome.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest document that an operator may send.
 const MAX_DOCUMENT_BYTES: u64 = 1 << 20;
-/// How often the server looks whether it is to stop.
+/// Interval at which the server checks whether it must stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Serves operators on a thread until told to stop; returns where it listens.
+/// Serves operators on a separate thread until shutdown; returns the bound address.
 pub(crate) fn serve_operators(
     core: Arc<DaemonCore>,
     address: SocketAddr,
@@ -73,7 +73,7 @@
         }
         (method, path) => match authenticate_operator(core, request) {
             Some(operator) => answer_operator(core, runtime, request, (method, path), &operator),
-            None => fault(401, "bad_key", "a known operator's key is needed as Bearer token"),
+            None => fault(401, "bad_key", "a valid operator key is required as Bearer token"),
         },
     }
 }
@@ -102,7 +102,7 @@
             let name = GroupName::from(path.trim_start_matches("/explain/"));
             match explain_group(core, &name) {
                 Some(explanation) => Response::json(&explanation),
-                None => fault(404, "no_such_group", &format!("no group is called {}", *name)),
+                None => fault(404, "no_such_group", &format!("there is no group {}", *name)),
             }
         }
         ("POST", path) if let Some(request) = read_release_path(path) => match request {
@@ -128,7 +128,7 @@
             Ok(change) => change_voters(core, runtime, &change),
             Err(response) => response,
         },
-        _ => fault(404, "no_such_path", "no such path"),
+        _ => fault(404, "no_such_path", "the path does not exist"),
     }
 }
 
@@ -177,13 +177,13 @@
             Response::json(&outcome).with_status_code(status)
         }
         Ok(_) | Err(ProposeEntryError::Unknown) => {
-            fault(504, "unknown", "the outcome is not known; send the same change again")
+            fault(504, "unknown", "the outcome is unknown; send the same change again")
         }
         Err(error) => fault(503, "no_leader", &error.to_string()),
     }
 }
 
-/// Exchanges voters of both logs, one daemon at a time.
+/// Changes the voters of both logs, one daemon at a time.
 fn change_voters(core: &Arc<DaemonCore>, runtime: &Handle, change: &VoterChange) -> Response {
     let mut voters = core.config_log.view().voters;
     let known = |id: &DaemonId| core.settings.peers.iter().any(|peer| peer.id == *id);
@@ -198,7 +198,7 @@
         })
         .collect::<Vec<_>>();
     if !unknown.is_empty() {
-        return faults(422, "the voters' change names no known daemon", unknown);
+        return faults(422, "the change of voters names an unknown daemon", unknown);
     }
     let steps = [(change.remove.as_ref(), false), (change.add.as_ref(), true)];
     for (daemon, adds) in steps {
@@ -212,7 +212,7 @@
             let deadline = Instant::now() + CHANGE_TIMEOUT;
             match runtime.block_on(core.propose(log, payload, deadline)) {
                 Ok(ProposalOutcome::VotersChanged) => {}
-                Ok(_) => return fault(409, "busy", "the voters cannot be changed to this now"),
+                Ok(_) => return fault(409, "busy", "this change of voters is not possible now"),
                 Err(error) => return fault(503, "no_leader", &error.to_string()),
             }
         }
--- a/crates/daemon/src/operator_view.rs
+++ b/crates/daemon/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Status and explanations for operators.
 
 use std::sync::atomic::Ordering;
 
@@ -15,7 +15,7 @@
 use crate::zone_control::describe_drain;
 use crate::zone_demand::{zone_demands, zone_planner};
 
-/// How this daemon stands.
+/// Returns the status of this daemon.
 pub(crate) fn daemon_status(core: &DaemonCore) -> DaemonStatus {
     let now = Instant::now();
     let config = core.config_log.view();
@@ -42,7 +42,7 @@
     }
 }
 
-/// Every node, with the platform's word on it and this daemon's own.
+/// Returns every node, with its state as listed by the platform and as observed by this daemon.
 pub(crate) fn node_statuses(core: &DaemonCore) -> Vec<NodeStatus> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -59,7 +59,7 @@
                     (None, Some(observation)) => {
                         format!("{} at epoch {}", observation.state, *observation.epoch)
                     }
-                    (None, None) => "not seen".to_owned(),
+                    (None, None) => "not observed".to_owned(),
                 };
                 let platform = if node.in_list {
                     node.listed.state.to_string()
@@ -82,7 +82,7 @@
     })
 }
 
-/// Every group, with how many of its replicas serve.
+/// Returns every group, with the number of its serving replicas.
 pub(crate) fn group_statuses(core: &DaemonCore) -> Vec<GroupStatus> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -101,13 +101,13 @@
     })
 }
 
-/// One replica as this daemon sees it.
+/// Returns the status of a replica as observed by this daemon.
 fn replica_status(fleet: &FleetView, zone: &ZoneId, allocation: &Allocation) -> ReplicaStatus {
     let now = Instant::now();
     let (state, reason) = match fleet.leases.serving_until(allocation, now) {
         Ok(until) => {
-            let left = until.saturating_duration_since(now).as_millis();
-            ("serving".to_owned(), format!("lease runs {left} ms more"))
+            let remaining = until.saturating_duration_since(now).as_millis();
+            ("serving".to_owned(), format!("lease runs {remaining} ms more"))
         }
         Err(refusal) => (allocation.phase.to_string(), refusal.to_string()),
     };
@@ -124,7 +124,7 @@
     }
 }
 
-/// Why a group stands as it does in this daemon's zone; none where there is no such group.
+/// Explains the state of a group in the local zone; `None` if the group does not exist.
 pub(crate) fn explain_group(core: &DaemonCore, name: &GroupName) -> Option<GroupExplanation> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -159,7 +159,7 @@
         if divided < spec.count {
             let short = spec.count - divided;
             unblock.push(format!(
-                "{short} replicas fit into no availability zone that is heard of; label more nodes"
+                "{short} replicas fit into no availability zone that reports; label more nodes"
             ));
         }
         if unblock.is_empty() && serving < spec.count {
@@ -178,7 +178,7 @@
     })
 }
 
-/// What a command would change in this daemon's zone, a line each.
+/// Returns what a command would change in the local zone, one line for each change.
 pub(crate) fn dry_run(core: &DaemonCore, command: &ConfigCommand) -> Vec<String> {
     let now = Instant::now();
     let mut changed: ConfigState = core.config_log.read(Clone::clone);
@@ -211,7 +211,8 @@
     lines
 }
 
-/// Divides a changed group as the leader would, by what the zones last reported.
+/// Assumes a quota for a changed group: the local zone gets an even share of missing replicas, and
+/// never keeps more than the group's count.
 fn assume_quota(
     core: &DaemonCore,
     config: &mut ConfigState,
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! Traces and metrics of a daemon.
 //!
-//! A trace has a span for each hop of a request (door, queue, claim, pick,
-//! upstream), and carries the W3C trace context in and out.
+//! A trace has a span for each stage of a request (`door`, `queue`, `claim`,
+//! `pick`, `upstream`), and propagates the W3C trace context.
 
 use std::fs::File;
 use std::io::Write;
@@ -28,18 +28,18 @@
 use crate::dispatch::{RequestEnd, RequestRun};
 
 const SCOPE: &str = "hollowbarrow";
-/// Name, unit and meaning of each metric.
+/// Returns name, unit and meaning of each metric.
 pub fn metric_catalogue() -> &'static [(&'static str, &'static str, &'static str)] {
     &[
         ("requests", "1", "Requests that ended, by outcome and priority class."),
         ("retries", "1", "Attempts after the first, by kind: again, resume or hedge."),
-        ("queue_ms", "ms", "Time that requests waited for a place, by priority class."),
+        ("queue_ms", "ms", "Time that requests waited for a slot, by priority class."),
         ("first_token_ms", "ms", "Time from a request's arrival to its first token."),
         ("token_gap_ms", "ms", "Time between two tokens of a stream."),
         (
             "group_down_seconds",
             "s",
-            "Replica-seconds in which a wanted replica did not serve, by group; counted by the zone's authority.",
+            "Replica-seconds in which a desired replica did not serve, by group; counted by the zone's authority.",
         ),
         (
             "stranded_accelerator_seconds",
@@ -69,11 +69,11 @@
 }
 
 impl Telemetry {
-    /// Creates the instruments, with a file for spans if one is wanted.
+    /// Creates the instruments, with a file for spans if a path is given.
     ///
     /// # Errors
     ///
-    /// Fails where the file cannot be opened.
+    /// Fails if the file cannot be opened.
     pub(crate) fn new(trace_file: Option<&Path>) -> std::io::Result<Self> {
         let page = MetricsPage::new();
         let meter = page.meter();
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Starts the first span of a request, below the caller's if it sent one.
+    /// Starts the root span of a request, as a child of the caller's span if it sent one.
     pub(crate) fn start_ingress_span(&self, request: &Request<Incoming>, id: &str) -> HopSpan {
         let parent = request
             .headers()
@@ -146,12 +146,12 @@
         *known = accelerators;
     }
 
-    /// Accelerators stranded in the zone when this daemon last looked as its authority.
+    /// Returns the stranded accelerators of the zone at the last step as its authority.
     pub(crate) fn stranded_now(&self) -> u32 {
         *self.stranded_now.lock().expect("no holder of the lock panics")
     }
 
-    /// Notes a request that was refused before it was understood.
+    /// Records a request that was refused before it was parsed completely.
     pub(crate) fn record_refused(&self, id: &str, error: &CallerError) {
         self.count_request(error.name(), Urgency::Normal);
         log::info!(
@@ -162,7 +162,7 @@
         );
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub(crate) fn record_end(&self, run: &RequestRun, end: &RequestEnd) {
         self.count_request(end.outcome, run.request.urgency);
         run.span.set("outcome", end.outcome);
@@ -187,18 +187,18 @@
         self.requests.add(1, &labels);
     }
 
-    /// All metrics as text, a line each: name, labels and value.
+    /// Returns all metrics as text, one line each: name, labels and value.
     pub(crate) fn to_text(&self) -> String {
         self.page.to_text()
     }
 
-    /// Writes out the spans that wait.
+    /// Flushes buffered spans to the file.
     pub(crate) fn flush(&self) {
         let _ = self.tracers.force_flush();
     }
 }
 
-/// The span of one hop of a request; it ends when dropped.
+/// Span of one stage of a request; ends when dropped.
 #[derive(Clone)]
 pub(crate) struct HopSpan {
     tracer: opentelemetry_sdk::trace::SdkTracer,
@@ -215,17 +215,17 @@
         Self { tracer: tracer.clone(), context: parent.with_span(span) }
     }
 
-    /// Starts the span of a hop within this one.
+    /// Starts a child span.
     pub(crate) fn child(&self, name: &'static str) -> Self {
         Self::start(&self.tracer, name, &self.context)
     }
 
-    /// Notes something about the hop.
+    /// Sets an attribute of the span.
     pub(crate) fn set(&self, key: &'static str, value: &str) {
         self.context.span().set_attribute(KeyValue::new(key, value.to_owned()));
     }
 
-    /// This span as W3C trace context.
+    /// Returns this span as W3C trace context.
     pub(crate) fn trace_parent(&self) -> String {
         let span = self.context.span();
         let context = span.span_context();
@@ -234,7 +234,7 @@
     }
 }
 
-/// Reads a W3C trace context.
+/// Parses a W3C trace context.
 fn parse_trace_parent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let (version, trace, span, flags) =
