--- a/crates/daemon/src/answer.rs
+++ b/crates/daemon/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies that come in pieces, and errors in the engines' shape.
+//! Answers to callers: complete and streamed bodies, and errors in the JSON format of engines.
 
 use std::pin::Pin;
 use std::sync::OnceLock;
@@ -13,58 +13,58 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Pieces of an answer that may wait for a slow caller.
-const BODY_PIECES: usize = 32;
+/// Chunks of an answer that may be buffered for a slow caller.
+const BODY_CHANNEL_CAPACITY: usize = 32;
 
-/// An answer that ended before it was whole; the caller's connection is cut.
+/// An answer that ended before it was complete; the caller's connection is closed.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer broke off")]
-pub(crate) struct CutAnswerError;
+#[error("the answer was truncated")]
+pub(crate) struct TruncatedAnswerError;
 
-/// Sends the pieces of an answer.
-pub(crate) type PieceSender = mpsc::Sender<Result<Bytes, CutAnswerError>>;
+/// Sends the chunks of a streamed answer.
+pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedAnswerError>>;
 
 /// Body of an answer.
 pub(crate) enum AnswerBody {
-    /// Everything is there.
-    Whole(Option<Bytes>),
-    /// Pieces come over a channel; the answer is whole when the channel closes.
-    Pieces(mpsc::Receiver<Result<Bytes, CutAnswerError>>),
+    /// The complete body, until it is sent.
+    Complete(Option<Bytes>),
+    /// Chunks from a channel; the answer is complete when the channel closes.
+    Chunks(mpsc::Receiver<Result<Bytes, TruncatedAnswerError>>),
 }
 
 impl AnswerBody {
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
+        Self::Complete(Some(bytes.into()))
     }
 
-    pub(crate) fn pieces() -> (PieceSender, Self) {
-        let (sender, receiver) = mpsc::channel(BODY_PIECES);
-        (sender, Self::Pieces(receiver))
+    pub(crate) fn chunks() -> (ChunkSender, Self) {
+        let (sender, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+        (sender, Self::Chunks(receiver))
     }
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = CutAnswerError;
+    type Error = TruncatedAnswerError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutAnswerError>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedAnswerError>>> {
         match &mut *self {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Pieces(receiver) => {
-                receiver.poll_recv(context).map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Self::Chunks(receiver) => {
+                receiver.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Self::Pieces(_) => SizeHint::default(),
+            Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
@@ -72,47 +72,47 @@
 /// An answer to a caller.
 pub(crate) type CallerAnswer = Response<AnswerBody>;
 
-/// The way back to a caller: its answer, given once, and the pieces of a started one.
+/// Connection to a caller: carries its one answer and, if that is streamed, the chunks.
 #[derive(Debug)]
 pub(crate) struct CallerLink {
     answer: mpsc::Sender<CallerAnswer>,
-    given: AtomicBool,
-    pieces: OnceLock<PieceSender>,
+    answer_sent: AtomicBool,
+    chunks: OnceLock<ChunkSender>,
 }
 
 impl CallerLink {
-    /// Creates a link and the receiver of its one answer.
+    /// Creates a link and the receiver of its answer.
     pub(crate) fn new() -> (Self, mpsc::Receiver<CallerAnswer>) {
         let (answer, receiver) = mpsc::channel(1);
-        (Self { answer, given: AtomicBool::new(false), pieces: OnceLock::new() }, receiver)
+        (Self { answer, answer_sent: AtomicBool::new(false), chunks: OnceLock::new() }, receiver)
     }
 
-    /// Gives the answer, unless one was given.
-    pub(crate) fn give(&self, answer: CallerAnswer) {
-        if !self.given.swap(true, Ordering::Relaxed) {
+    /// Sends the answer, unless one was sent before.
+    pub(crate) fn send_answer(&self, answer: CallerAnswer) {
+        if !self.answer_sent.swap(true, Ordering::Relaxed) {
             let _ = self.answer.try_send(answer);
         }
     }
 
-    /// Gives an answer whose pieces follow.
+    /// Sends the head of a streamed answer, whose chunks follow.
     pub(crate) fn start(&self, head: hyper::http::response::Builder) {
-        let (sender, body) = AnswerBody::pieces();
-        if self.pieces.set(sender).is_ok() {
-            self.give(head.body(body).expect("the headers are valid"));
+        let (sender, body) = AnswerBody::chunks();
+        if self.chunks.set(sender).is_ok() {
+            self.send_answer(head.body(body).expect("the headers are valid"));
         }
     }
 
-    /// The sender of pieces, once an answer was started.
-    pub(crate) fn pieces(&self) -> Option<&PieceSender> {
-        self.pieces.get()
+    /// Returns the sender of chunks once a streamed answer has started.
+    pub(crate) fn chunks(&self) -> Option<&ChunkSender> {
+        self.chunks.get()
     }
 
-    /// Waits until the caller has gone away before its answer was whole.
-    pub(crate) async fn abandoned(&self) {
+    /// Waits until the caller disconnects before its answer is complete.
+    pub(crate) async fn disconnected(&self) {
         self.answer.closed().await;
-        match self.pieces.get() {
-            Some(pieces) => pieces.closed().await,
-            None if self.given.load(Ordering::Relaxed) => std::future::pending().await,
+        match self.chunks.get() {
+            Some(chunks) => chunks.closed().await,
+            None if self.answer_sent.load(Ordering::Relaxed) => std::future::pending().await,
             None => {}
         }
     }
@@ -120,21 +120,21 @@
 
 macro_rules! error_codes {
     ($($(#[doc = $doc:literal])* $code:ident = $status:expr, $name:literal, $kind:literal;)+) => {
-        /// Stable codes of errors.
+        /// Stable error codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(crate) enum ErrorCode { $($(#[doc = $doc])* $code,)+ }
 
-        /// Name, HTTP status and meaning of each error that callers can be told.
+        /// Returns name, HTTP status and meaning of each error that callers can receive.
         pub fn error_catalogue() -> Vec<(&'static str, u16, String)> {
             vec![$({
-                let (status, name, _) = ErrorCode::$code.facts();
+                let (status, name, _) = ErrorCode::$code.details();
                 (name, status.as_u16(), [$($doc),*].concat().trim().to_owned())
             }),+]
         }
 
         impl ErrorCode {
-            /// Status, stable name and type of the code.
-            fn facts(self) -> (StatusCode, &'static str, &'static str) {
+            /// Returns status, stable name and type of the code.
+            fn details(self) -> (StatusCode, &'static str, &'static str) {
                 match self { $(Self::$code => ($status, $name, $kind),)+ }
             }
         }
@@ -142,26 +142,26 @@
 }
 
 error_codes! {
-    /// No key, or one that is not known.
+    /// The request has no key, or an unknown one.
     BadKey = StatusCode::UNAUTHORIZED, "bad_key", "authentication_error";
-    /// The request is not what the API takes.
+    /// The request is malformed or not supported by the API.
     BadRequest = StatusCode::BAD_REQUEST, "bad_request", "invalid_request_error";
-    /// The body's length is not given; bodies in chunks are not taken.
+    /// The request has no content-length; chunked bodies are not accepted.
     LengthRequired = StatusCode::LENGTH_REQUIRED, "length_required", "invalid_request_error";
     /// The body is larger than the limit.
     TooLarge = StatusCode::PAYLOAD_TOO_LARGE, "too_large", "invalid_request_error";
-    /// The body did not come in time.
+    /// The body was not received in time.
     TooSlow = StatusCode::REQUEST_TIMEOUT, "too_slow", "invalid_request_error";
-    /// No such path.
+    /// The path does not exist.
     NoSuchPath = StatusCode::NOT_FOUND, "no_such_path", "invalid_request_error";
-    /// No group or endpoint is for the model.
+    /// No group or endpoint serves the model.
     NoSuchModel = StatusCode::NOT_FOUND, "model_not_found", "invalid_request_error";
-    /// Upstreams exist but none may take requests now.
+    /// Upstreams exist but none accepts requests now.
     NoUpstream = StatusCode::SERVICE_UNAVAILABLE, "no_upstream", "server_error";
-    /// Upstreams have ended, one after the other, under this request.
-    EndsUpstreams = StatusCode::SERVICE_UNAVAILABLE, "ends_upstreams", "server_error";
-    /// Another copy of this request is under way, and nothing has come of it yet.
-    CopyUnderWay = StatusCode::SERVICE_UNAVAILABLE, "copy_under_way", "server_error";
+    /// Several upstreams crashed, one after the other, while they ran this request.
+    CrashesUpstreams = StatusCode::SERVICE_UNAVAILABLE, "ends_upstreams", "server_error";
+    /// A duplicate of this request is in progress and has not made progress yet.
+    DuplicateInFlight = StatusCode::SERVICE_UNAVAILABLE, "copy_under_way", "server_error";
     /// The organisation's limit is used up.
     LimitReached = StatusCode::TOO_MANY_REQUESTS, "limit_reached", "rate_limit_error";
     /// The queue of the request's class is full.
@@ -170,7 +170,7 @@
     DeadlinePassed = StatusCode::GATEWAY_TIMEOUT, "deadline_passed", "server_error";
     /// The upstream failed, and trying again was not safe or did not help.
     UpstreamFailed = StatusCode::BAD_GATEWAY, "upstream_failed", "server_error";
-    /// It cannot be made sure that the request runs only once.
+    /// The claims log is unavailable, so running the request only once cannot be guaranteed.
     ClaimsUnavailable = StatusCode::SERVICE_UNAVAILABLE, "claims_unavailable", "server_error";
     /// The first request with this key is still running.
     InProgress = StatusCode::CONFLICT, "in_progress", "conflict_error";
@@ -182,7 +182,7 @@
     KeyReused = StatusCode::UNPROCESSABLE_ENTITY, "key_reused", "invalid_request_error";
 }
 
-/// An error that a caller is told.
+/// An error that is sent to a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerError {
     pub(crate) code: ErrorCode,
@@ -193,7 +193,7 @@
 }
 
 impl CallerError {
-    /// An error before the request could run.
+    /// Creates an error of a request that was not run.
     pub(crate) fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -219,14 +219,14 @@
         self
     }
 
-    /// Stable name of the code.
+    /// Returns the stable name of the code.
     pub(crate) fn name(&self) -> &'static str {
-        self.code.facts().1
+        self.code.details().1
     }
 
-    /// The error as JSON.
+    /// Returns the error as JSON.
     pub(crate) fn to_json(&self, request_id: &str) -> Vec<u8> {
-        let (_, code, kind) = self.code.facts();
+        let (_, code, kind) = self.code.details();
         let answer = ErrorAnswer {
             error: ErrorBody {
                 message: self.message.clone(),
@@ -237,12 +237,12 @@
                 request_id: Some(request_id.to_owned()),
             },
         };
-        serde_json::to_vec(&answer).expect("an error is JSON")
+        serde_json::to_vec(&answer).expect("an error answer serialises to JSON")
     }
 
-    /// The error as an answer.
+    /// Returns the error as an answer with this request id.
     pub(crate) fn to_answer(&self, request_id: &str) -> CallerAnswer {
-        let (status, ..) = self.code.facts();
+        let (status, ..) = self.code.details();
         let mut builder = Response::builder()
             .status(status)
             .header("content-type", "application/json")
@@ -252,6 +252,6 @@
             let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
             builder = builder.header("retry-after", seconds);
         }
-        builder.body(AnswerBody::whole(self.to_json(request_id))).expect("the headers are valid")
+        builder.body(AnswerBody::complete(self.to_json(request_id))).expect("the headers are valid")
     }
 }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream: the choice, the request that is sent, and its answer.
+//! One attempt to run a request: selects an upstream, sends the request and reads its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,51 +12,51 @@
 use tokio::time::Instant;
 
 use crate::answer::{CallerError, CallerLink, ErrorCode};
+use crate::caller_request::{CallerRequest, RequestKind, headers};
 use crate::core::DaemonCore;
-use crate::facts::{CallerRequest, RequestKind, headers};
-use crate::permits::{HeldPermit, PermitWait, limit_name, note_limit};
+use crate::permits::{HeldPermit, PermitWait, limit_name, record_limit};
 use crate::refusals::{UPSTREAM_RETRY, to_backoff_error, to_limited_error, to_send_error};
-use crate::relay::{StreamRelay, read_whole};
+use crate::relay::{StreamRelay, read_complete_answer};
 use crate::routes::{RouteEntry, RouteTarget};
 use crate::telemetry::HopSpan;
 
-/// Pause before the upstreams are looked at again when none has room.
-const ROOM_PAUSE: Duration = Duration::from_millis(10);
+/// Pause before upstreams are checked again when none has capacity.
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What an attempt brought.
-pub(crate) enum Attempted {
-    /// The stream came whole and was passed on but for its end mark.
+/// Answer of a successful attempt.
+pub(crate) enum AttemptAnswer {
+    /// The stream is complete and has been forwarded except for its end marker.
     Streamed,
-    /// A whole answer.
-    Whole { status: StatusCode, content_type: String, body: Bytes },
+    /// A complete answer.
+    Complete { status: StatusCode, content_type: String, body: Bytes },
 }
 
-/// Why an attempt brought nothing.
-pub(crate) enum AttemptEnd {
+/// Why an attempt has no answer.
+pub(crate) enum AttemptError {
     /// An upstream failed.
     Failed(AttemptUpstreamError),
-    /// There was none to try.
-    Nothing(CallerError),
+    /// No upstream was tried.
+    NotAttempted(CallerError),
 }
 
-/// The upstream that was tried, if there was one, and what came of it.
-pub(crate) type AttemptResult = (Option<UpstreamKey>, Result<Attempted, AttemptEnd>);
+/// The upstream that was tried, if any, and the outcome.
+pub(crate) type AttemptResult = (Option<UpstreamKey>, Result<AttemptAnswer, AttemptError>);
 
-/// Makes an attempt at a plain call.
-pub(crate) async fn plain_attempt(
+/// Makes an attempt for a call of a plain service.
+pub(crate) async fn run_plain_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
     avoid: &[UpstreamKey],
     span: &HopSpan,
 ) -> AttemptResult {
-    // A plain call is never streamed, so nothing goes over this link.
+    // A plain call is never streamed, so nothing is sent over this link.
     let (link, _) = CallerLink::new();
     let mut relay = StreamRelay::new(&Arc::new(link), false);
-    attempt_once(core, request, &[], avoid, span, &mut relay, false).await
+    run_attempt(core, request, &[], avoid, span, &mut relay, false).await
 }
 
-/// Picks an upstream, sends the request and brings its answer.
-pub(crate) async fn attempt_once(
+/// Selects an upstream, sends the request and reads its answer.
+pub(crate) async fn run_attempt(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
     blocks: &[u64],
@@ -68,19 +68,20 @@
     let pick_span = span.child("pick");
     let PickedUpstream { entry, permit } = match pick_upstream(core, request, blocks, avoid).await {
         Ok(picked) => picked,
-        Err(error) => return (None, Err(AttemptEnd::Nothing(error))),
+        Err(error) => return (None, Err(AttemptError::NotAttempted(error))),
     };
     drop(pick_span);
     let attempt_span = span.child("upstream");
     attempt_span.set("upstream", &entry.key.name);
     let key = entry.key.clone();
-    let tally = PickerTally::new(core, &key, blocks).with_permit(permit);
-    let sending = send_to_upstream(core, request, &entry, &attempt_span, relay, streamed, &tally);
+    let picker_guard = PickerGuard::new(core, &key, blocks).with_permit(permit);
+    let sending =
+        send_to_upstream(core, request, &entry, &attempt_span, relay, streamed, &picker_guard);
     let outcome = tokio::select! {
         outcome = sending => outcome,
-        // The answer of a replica that lost a member will not come; only what may run again
-        // is given up for that.
-        () = entry.lost(core), if !request.not_repeatable => {
+        // A replica that lost a member cannot answer any more. Only a repeatable request is
+        // abandoned for that.
+        () = entry.wait_until_lost(core), if !request.not_repeatable => {
             Err(AttemptUpstreamError::BrokenAnswer { reason: "the replica lost a member", tokens: 0 })
         }
     };
@@ -90,60 +91,62 @@
     if let Err(error) = &outcome {
         attempt_span.set("error", &error.to_string());
     }
-    drop(tally);
-    (Some(key), outcome.map_err(AttemptEnd::Failed))
+    drop(picker_guard);
+    (Some(key), outcome.map_err(AttemptError::Failed))
 }
 
-/// Counts an attempt at its upstream until it ends.
-pub(crate) struct PickerTally<'a> {
+/// Keeps an attempt counted at its upstream in the picker until dropped.
+pub(crate) struct PickerGuard<'a> {
     core: &'a DaemonCore,
     key: &'a UpstreamKey,
     started: Instant,
-    first: std::sync::OnceLock<Instant>,
+    first_byte_at: std::sync::OnceLock<Instant>,
     permit: Option<HeldPermit>,
 }
 
-impl<'a> PickerTally<'a> {
+impl<'a> PickerGuard<'a> {
     fn new(core: &'a DaemonCore, key: &'a UpstreamKey, blocks: &[u64]) -> Self {
         let started = Instant::now();
         core.picker().record_start(key, blocks, started);
-        Self { core, key, started, first: std::sync::OnceLock::new(), permit: None }
+        Self { core, key, started, first_byte_at: std::sync::OnceLock::new(), permit: None }
     }
 
-    /// Sets what allows the attempt.
+    /// Sets the permit that the attempt uses.
     fn with_permit(mut self, permit: Option<HeldPermit>) -> Self {
         self.permit = permit;
         self
     }
 
-    /// Notes that the request goes to the upstream.
-    fn note_sent(&self) {
+    /// Records that the request is being sent to the upstream.
+    fn record_sent(&self) {
         if let Some(permit) = &self.permit {
-            permit.note_sent();
+            permit.record_sent();
         }
     }
 
-    /// Notes that the first byte of the answer came.
-    pub(crate) fn note_first(&self) {
-        let _ = self.first.set(Instant::now());
+    /// Records that the first byte of the answer was received.
+    pub(crate) fn record_first_byte(&self) {
+        let _ = self.first_byte_at.set(Instant::now());
     }
 }
 
-impl Drop for PickerTally<'_> {
+impl Drop for PickerGuard<'_> {
     fn drop(&mut self) {
-        let first = self.first.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
-        self.core.picker().record_end(self.key, first, Instant::now());
+        let first_byte_at =
+            self.first_byte_at.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
+        self.core.picker().record_end(self.key, first_byte_at, Instant::now());
     }
 }
 
-/// An upstream that was chosen.
+/// A selected upstream.
 struct PickedUpstream {
     entry: RouteEntry,
-    /// What allows the request there, where the upstream takes only so many a second.
+    /// Permit for the request, if the upstream has a rate limit.
     permit: Option<HeldPermit>,
 }
 
-/// Chooses an upstream, waiting for room until the deadline, and for a permit for a moment.
+/// Selects an upstream. Waits for capacity until the deadline, and for a permit until
+/// `PERMIT_WAIT_TIMEOUT`.
 async fn pick_upstream(
     core: &Arc<DaemonCore>,
     request: &CallerRequest,
@@ -154,7 +157,7 @@
     loop {
         let now = Instant::now();
         if now >= request.deadline {
-            let message = "the deadline passed before an upstream had room";
+            let message = "the deadline passed before an upstream had capacity";
             return Err(CallerError::not_run(ErrorCode::DeadlinePassed, message));
         }
         let routes = core.routes();
@@ -168,7 +171,7 @@
             open.collect::<Vec<RouteCandidate>>()
         };
         let backoff = drop_backed_off(core, &mut candidates, now);
-        let lacking = drop_lacking(core, &mut candidates, now);
+        let lacking = drop_without_permit(core, &mut candidates, now);
         if candidates.is_empty() && !lacking.is_empty() {
             permits.wait_for_any(&lacking).await.map_err(to_limited_error)?;
             continue;
@@ -179,10 +182,10 @@
                 None => no_upstream(core, request, entries),
             });
         }
-        need_ahead(core, &candidates, &lacking, now);
-        let fresh: Vec<RouteCandidate> =
+        sample_future_need(core, &candidates, &lacking, now);
+        let untried: Vec<RouteCandidate> =
             candidates.iter().filter(|c| !avoid.contains(&c.key)).cloned().collect();
-        let pool = if fresh.is_empty() { &candidates } else { &fresh };
+        let pool = if untried.is_empty() { &candidates } else { &untried };
         let choice = core.picker().pick(pool, blocks, &mut rand::rng());
         if let Some(choice) = choice
             && let Some(entry) = entries.iter().find(|entry| entry.key == choice.key)
@@ -190,12 +193,12 @@
             let permit = HeldPermit::take(core, &entry.key, now);
             return Ok(PickedUpstream { entry: entry.clone(), permit });
         }
-        tokio::time::sleep(ROOM_PAUSE).await;
+        tokio::time::sleep(CAPACITY_POLL_INTERVAL).await;
     }
 }
 
-/// Drops candidates that need a permit which is not there; their names.
-fn drop_lacking(
+/// Drops candidates that need a permit while none is available, and returns their names.
+fn drop_without_permit(
     core: &DaemonCore,
     candidates: &mut Vec<RouteCandidate>,
     now: Instant,
@@ -216,16 +219,22 @@
     dropped
 }
 
-/// Notes the need of a permit of an upstream that lacks one as often as the request would go there.
-fn need_ahead(core: &DaemonCore, candidates: &[RouteCandidate], lacking: &[String], now: Instant) {
-    let drawn = rand::random_range(0..candidates.len() + lacking.len());
-    if let Some(name) = lacking.get(drawn) {
+/// Records a future need of a permit for a randomly drawn upstream that lacks one.
+///
+/// Each upstream is drawn as often as the request would be sent there if permits were available.
+fn sample_future_need(
+    core: &DaemonCore,
+    candidates: &[RouteCandidate],
+    lacking: &[String],
+    now: Instant,
+) {
+    let index = rand::random_range(0..candidates.len() + lacking.len());
+    if let Some(name) = lacking.get(index) {
         core.limits().record_future_need(name, PERMIT_LIFETIME, now);
     }
 }
 
-/// Drops candidates that want no requests; after what time the first one wants some again, where
-/// any was dropped.
+/// Drops candidates that are in backoff, and returns the shortest remaining backoff of those dropped.
 fn drop_backed_off(
     core: &DaemonCore,
     candidates: &mut Vec<RouteCandidate>,
@@ -243,16 +252,16 @@
 
 fn no_upstream(core: &DaemonCore, request: &CallerRequest, entries: &[RouteEntry]) -> CallerError {
     if let RequestKind::Completion { model, .. } = &request.kind {
-        let asked_for = core
+        let is_configured = core
             .config_log
             .read(|config| config.groups().values().any(|group| group.value.model == *model));
-        // Callers do not ask again after a 404.
-        if entries.is_empty() && !asked_for && core.is_config_current(Instant::now()) {
+        // Callers do not retry after a 404, so it is sent only while the configuration is current.
+        if entries.is_empty() && !is_configured && core.is_config_current(Instant::now()) {
             let message = format!("no group or endpoint serves model {}", **model);
             return CallerError::not_run(ErrorCode::NoSuchModel, message).with_field("model");
         }
     }
-    let message = "no upstream may take requests now";
+    let message = "no upstream accepts requests now";
     CallerError::not_run(ErrorCode::NoUpstream, message).with_retry_after(UPSTREAM_RETRY)
 }
 
@@ -263,8 +272,8 @@
     span: &HopSpan,
     relay: &mut StreamRelay,
     streamed: bool,
-    tally: &PickerTally<'_>,
-) -> Result<Attempted, AttemptUpstreamError> {
+    picker_guard: &PickerGuard<'_>,
+) -> Result<AttemptAnswer, AttemptUpstreamError> {
     let reuse = !request.not_repeatable;
     let lease = core
         .client
@@ -272,24 +281,24 @@
         .await
         .map_err(|_| AttemptUpstreamError::NotReached)?;
     let message = to_upstream_request(request, entry, span, relay);
-    // From here on nothing may take time: the lease and the deadline are checked, then it goes.
+    // There must be no wait between these checks of lease and deadline and the sending.
     let now = Instant::now();
     if now >= request.deadline {
         return Err(AttemptUpstreamError::DeadlinePassed { sent: false });
     }
-    if entry.until(&core.fleet(), now).is_none() {
+    if entry.usable_until(&core.fleet(), now).is_none() {
         return Err(AttemptUpstreamError::NotSent);
     }
     if core.backoffs().reason(&entry.key.name, now).is_some() {
         lease.give_back();
         return Err(AttemptUpstreamError::BackedOff);
     }
-    tally.note_sent();
+    picker_guard.record_sent();
     let answer =
         core.client.send(lease, &message, request.deadline).await.map_err(to_send_error)?;
-    tally.note_first();
-    note_limit(core, &entry.key, &answer.headers, now);
-    let backoff = note_backoff(core, &entry.key, &answer);
+    picker_guard.record_first_byte();
+    record_limit(core, &entry.key, &answer.headers, now);
+    let backoff = record_backoff_notice(core, &entry.key, &answer);
     let engine = matches!(entry.target, RouteTarget::Replica(_));
     if engine && is_refusal(answer.status) {
         return Err(AttemptUpstreamError::Refused {
@@ -305,16 +314,17 @@
         .get("content-type")
         .is_some_and(|kind| kind.as_bytes().starts_with(b"text/event-stream"));
     if streamed && event_stream {
-        return relay.run(core, request, answer).await.map(|()| Attempted::Streamed);
+        return relay.run(core, request, answer).await.map(|()| AttemptAnswer::Streamed);
     }
     if relay.has_started() {
-        let reason = "the resumed answer is no stream";
+        let reason = "the resumed answer is not a stream";
         return Err(AttemptUpstreamError::BrokenAnswer { reason, tokens: 0 });
     }
-    read_whole(core, request, answer).await
+    read_complete_answer(core, request, answer).await
 }
 
-/// Statuses by which an engine says that it ran nothing, as the upstream protocol promises.
+/// Returns whether an engine reports with this status that it did not run the request, as the
+/// upstream protocol guarantees.
 fn is_refusal(status: StatusCode) -> bool {
     matches!(
         status,
@@ -322,8 +332,12 @@
     )
 }
 
-/// Notes for how long an upstream that turns requests away wants none, and returns that.
-fn note_backoff(core: &DaemonCore, key: &UpstreamKey, answer: &SentAnswer) -> Option<Duration> {
+/// Records and returns the backoff that an upstream requests when it rejects a request.
+fn record_backoff_notice(
+    core: &DaemonCore,
+    key: &UpstreamKey,
+    answer: &SentAnswer,
+) -> Option<Duration> {
     if !is_refusal(answer.status) {
         return None;
     }
@@ -348,14 +362,14 @@
     span: &HopSpan,
     relay: &StreamRelay,
 ) -> UpstreamRequest {
-    let mut passed = request.headers.clone();
+    let mut forwarded = request.headers.clone();
     let mut put = |name: &'static str, value: String| {
         if let Ok(value) = HeaderValue::try_from(value) {
-            passed.insert(name, value);
+            forwarded.insert(name, value);
         }
     };
-    let left = request.deadline.saturating_duration_since(Instant::now());
-    put(headers::DEADLINE, left.as_millis().to_string());
+    let remaining = request.deadline.saturating_duration_since(Instant::now());
+    put(headers::DEADLINE, remaining.as_millis().to_string());
     put(headers::PRIORITY, request.urgency.to_string());
     put(headers::TRACE_PARENT, span.trace_parent());
     if *entry.key.epoch > 0 {
@@ -365,7 +379,7 @@
         request_id: request.id.clone(),
         method: request.method.clone(),
         target: request.target.clone(),
-        headers: passed,
+        headers: forwarded,
         body: relay.resume_body(request).unwrap_or_else(|| request.body.clone()),
         reuse: !request.not_repeatable,
     }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,8 +1,8 @@
-//! Takes callers' connections.
+//! Accepts callers' connections.
 //!
-//! Each connection has limits on its headers, bodies and idle time. A request
-//! runs in a task of its own: if its caller goes away, a repeatable request is
-//! cancelled with its upstream, and a not repeatable one is seen through so
+//! Each connection has limits on its headers, bodies and idle time. Each request
+//! runs in a separate task: if its caller disconnects, a repeatable request is
+//! cancelled with its upstream, and a non-repeatable one runs to completion so
 //! that its outcome is recorded.
 
 use std::convert::Infallible;
@@ -20,36 +20,36 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::answer::{AnswerBody, CallerAnswer, CallerError, CallerLink, ErrorCode};
+use crate::caller_request::{authenticate, headers, read_request};
 use crate::core::DaemonCore;
 use crate::dispatch::run_request;
-use crate::facts::{authenticate, headers, read_request};
 use crate::telemetry::HopSpan;
 
 /// Largest head of a request.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most headers of a request.
+/// Largest number of headers of a request.
 const MAX_HEADERS: usize = 100;
-/// Longest request identity taken from a caller.
+/// Longest request id that is accepted from a caller.
 const MAX_ID_BYTES: usize = 128;
-/// Pause after a failed accept, as when files run out.
+/// Pause after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts callers until told to stop; then lets open connections end.
+/// Accepts callers until shutdown, then lets open connections finish.
 pub(crate) async fn serve_callers(
     core: Arc<DaemonCore>,
     listener: std::net::TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let places = Arc::new(Semaphore::new(core.settings.limits.connections as usize));
+    let slots = Arc::new(Semaphore::new(core.settings.limits.connections as usize));
     loop {
-        let place = tokio::select! {
-            place = Arc::clone(&places).acquire_owned() => place,
-            () = told_to_stop(&mut stop) => return,
+        let slot = tokio::select! {
+            slot = Arc::clone(&slots).acquire_owned() => slot,
+            () = stop_requested(&mut stop) => return,
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stop) => return,
+            () = stop_requested(&mut stop) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -60,13 +60,13 @@
         let stop = stop.clone();
         tokio::spawn(async move {
             serve_connection(core, stream, stop).await;
-            drop(place);
+            drop(slot);
         });
     }
 }
 
-async fn told_to_stop(stop: &mut watch::Receiver<bool>) {
-    // An error means that the daemon is gone, which is as good as being told.
+async fn stop_requested(stop: &mut watch::Receiver<bool>) {
+    // An error means that the sender was dropped with the daemon, which also requires a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
@@ -89,7 +89,7 @@
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = told_to_stop(&mut stop) => {
+        () = stop_requested(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
@@ -103,11 +103,11 @@
         (&Method::GET, "/v1/models") => return list_models(&core, &request, &id),
         _ => {}
     }
-    let span = core.telemetry.start_door(&request, &id);
+    let span = core.telemetry.start_ingress_span(&request, &id);
     let checked = match read_request(&core.settings, &id, request).await {
         Ok(checked) => checked,
         Err(error) => {
-            core.telemetry.note_refused(&id, &error);
+            core.telemetry.record_refused(&id, &error);
             return error.to_answer(&id);
         }
     };
@@ -115,15 +115,18 @@
     core.in_flight.fetch_add(1, Ordering::Relaxed);
     tokio::spawn(run_counted(Arc::clone(&core), checked, link, span));
     receiver.recv().await.unwrap_or_else(|| {
-        // The task ended without an answer, which only a bug can bring about.
-        let error = CallerError::not_run(ErrorCode::UpstreamFailed, "the request was dropped");
+        // The task ended without an answer, which only a bug can cause.
+        let error = CallerError::not_run(
+            ErrorCode::UpstreamFailed,
+            "the request's task ended without an answer",
+        );
         error.with_ran(hollowbarrow_schema::ErrorRan::Unknown).to_answer(&id)
     })
 }
 
 async fn run_counted(
     core: Arc<DaemonCore>,
-    request: crate::facts::CallerRequest,
+    request: crate::caller_request::CallerRequest,
     link: CallerLink,
     span: HopSpan,
 ) {
@@ -139,20 +142,25 @@
     }
 }
 
-/// The caller's identity of the request if it has a usable one, else a fresh one.
+/// Returns the request id from the caller if it is valid, otherwise a random one.
 fn request_id(request: &Request<Incoming>) -> String {
-    let given = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
+    let supplied = request.headers().get(headers::REQUEST_ID).and_then(|id| id.to_str().ok());
     let usable = |id: &&str| {
         (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(|byte| byte.is_ascii_graphic())
     };
-    given.filter(usable).map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_owned)
+    supplied
+        .filter(usable)
+        .map_or_else(|| format!("{:032x}", rand::random::<u128>()), str::to_owned)
 }
 
 fn ready_answer(core: &DaemonCore) -> CallerAnswer {
     let ready = core.ready.load(Ordering::Relaxed);
     let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     let body = if ready { "ready\n" } else { "not ready\n" };
-    Response::builder().status(status).body(AnswerBody::whole(body)).expect("the answer is valid")
+    Response::builder()
+        .status(status)
+        .body(AnswerBody::complete(body))
+        .expect("the headers are valid")
 }
 
 fn list_models(core: &DaemonCore, request: &Request<Incoming>, id: &str) -> CallerAnswer {
@@ -168,6 +176,6 @@
     Response::builder()
         .header("content-type", "application/json")
         .header("x-request-id", id)
-        .body(AnswerBody::whole(body))
-        .expect("the answer is valid")
+        .body(AnswerBody::complete(body))
+        .expect("the headers are valid")
 }
--- a/crates/daemon/src/observer.rs
+++ b/crates/daemon/src/observer.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list and probes the nodes that fall to this daemon.
+//! Polls the platform's list of nodes and probes the nodes assigned to this daemon.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::core::DaemonCore;
 
-/// Reads the platform's list again and again.
+/// Polls the platform's list of nodes.
 pub(crate) async fn watch_platform(core: Arc<DaemonCore>) {
     let interval = Duration::from_millis(core.settings.timing.platform_ms);
     let mut failing = false;
@@ -20,13 +20,13 @@
         match listed {
             Ok(Ok(list)) => {
                 failing = false;
-                let changed = core.fleet_mut().take_list(list, Instant::now());
+                let changed = core.fleet_mut().record_list(list, Instant::now());
                 if changed {
                     core.rebuild_routes();
                 }
             }
             Ok(Err(error)) if !failing => {
-                // An unread list changes nothing: what was known goes on holding.
+                // The last known list stays valid while the platform cannot be read.
                 failing = true;
                 log::warn!("event=platform_unread reason={:?}", error.to_string());
             }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Probes this daemon's share of its zone's nodes at an even pace.
+/// Probes this daemon's share of its zone's nodes at a fixed interval.
 pub(crate) async fn probe_nodes(core: Arc<DaemonCore>) {
     let mut interval = tokio::time::interval(Duration::from_millis(core.settings.timing.probe_ms));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -50,13 +50,13 @@
     }
 }
 
-/// Nodes of the own zone that this daemon observes, given who else is there to do it.
+/// Returns the nodes of the local zone that this daemon probes, given which other daemons report.
 pub(crate) fn nodes_to_probe(core: &DaemonCore) -> Vec<NodeId> {
     let now = Instant::now();
     let fleet = core.fleet();
     let within = core.lease() * 2;
     let daemons = observing_members(core.zone(), &core.settings.peers, |id| {
-        id == core.id() || fleet.is_heard(id, within, now)
+        id == core.id() || fleet.has_reported(id, within, now)
     });
     if !daemons.contains(&core.id()) {
         return Vec::new();
@@ -73,18 +73,18 @@
 async fn probe_node(core: Arc<DaemonCore>, node: NodeId) {
     let Some(address) = core.fleet().address(&node) else { return };
     let timeout = core.lease() / 2;
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let outcome = core.engine.probe(address, timeout).await;
     let now = Instant::now();
     match outcome {
         Ok(report) if report.node == node => {
-            core.fleet_mut().take_sighting(&node, to_sighting(report, asked), now);
+            core.fleet_mut().record_observation(&node, to_observation(report, sent_at), now);
         }
         Ok(report) => {
             log::warn!("event=probe_other_node wanted={} found={}", *node, *report.node);
         }
         Err(ProbeNodeError::NotReport) if is_service(&core, &node) => {
-            // A plain service that knows nothing of hollowbarrow answers, so it is there.
+            // A plain service does not implement the report; any answer shows that it is running.
             let report = NodeReport {
                 node: node.clone(),
                 start: StartId(0),
@@ -95,10 +95,10 @@
                 queued: 0,
                 weights: Vec::new(),
             };
-            core.fleet_mut().take_sighting(&node, to_sighting(report, asked), now);
+            core.fleet_mut().record_observation(&node, to_observation(report, sent_at), now);
         }
         Err(ProbeNodeError::NoAnswer(SendRequestError::Connect(_))) => {
-            core.fleet_mut().take_loss(&node, asked);
+            core.fleet_mut().record_loss(&node, sent_at);
         }
         Err(_) => {}
     }
@@ -108,7 +108,7 @@
     core.fleet().nodes.get(node).is_some_and(|node| node.listed.service.is_some())
 }
 
-fn to_sighting(report: NodeReport, asked: Instant) -> NodeObservation {
+fn to_observation(report: NodeReport, sent_at: Instant) -> NodeObservation {
     NodeObservation {
         start: report.start,
         epoch: report.epoch,
@@ -116,6 +116,6 @@
         load: report.running + report.queued,
         owner: report.owner,
         weights: report.weights,
-        seen: asked,
+        seen: sent_at,
     }
 }
--- a/crates/daemon/src/operator_view.rs
+++ b/crates/daemon/src/operator_view.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Status and explanations for operators.
 
 use std::sync::atomic::Ordering;
 
@@ -15,7 +15,7 @@
 use crate::zone_control::describe_drain;
 use crate::zone_demand::{zone_demands, zone_planner};
 
-/// How this daemon stands.
+/// Returns the status of this daemon.
 pub(crate) fn daemon_status(core: &DaemonCore) -> DaemonStatus {
     let now = Instant::now();
     let config = core.config_log.view();
@@ -42,7 +42,7 @@
     }
 }
 
-/// Every node, with the platform's word on it and this daemon's own.
+/// Returns every node, with its state as listed by the platform and as observed by this daemon.
 pub(crate) fn node_statuses(core: &DaemonCore) -> Vec<NodeStatus> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -52,14 +52,14 @@
             .iter()
             .map(|(id, node)| {
                 let labels = config.labels().get(id);
-                let holder = fleet.allocations().find(|(_, a)| a.members.contains(id));
-                let sighting = fleet.leases.observation(id);
-                let observed = match (fleet.unusable(id, node, now), sighting) {
+                let assigned = fleet.allocations().find(|(_, a)| a.members.contains(id));
+                let observation = fleet.leases.observation(id);
+                let observed = match (fleet.unusable_reason(id, node, now), observation) {
                     (Some(cause), _) => cause,
-                    (None, Some(sighting)) => {
-                        format!("{} at epoch {}", sighting.state, *sighting.epoch)
+                    (None, Some(observation)) => {
+                        format!("{} at epoch {}", observation.state, *observation.epoch)
                     }
-                    (None, None) => "not seen".to_owned(),
+                    (None, None) => "not observed".to_owned(),
                 };
                 let platform = if node.in_list {
                     node.listed.state.to_string()
@@ -75,14 +75,14 @@
                     observed,
                     labels: labels.map_or(Labels(Default::default()), |l| l.value.clone()),
                     revision: labels.map(|l| l.revision).unwrap_or_default(),
-                    group: holder.map(|(_, a)| format!("{}/{}", *a.group, a.slot)),
+                    group: assigned.map(|(_, a)| format!("{}/{}", *a.group, a.slot)),
                 }
             })
             .collect()
     })
 }
 
-/// Every group, with how many of its replicas serve.
+/// Returns every group, with the number of its serving replicas.
 pub(crate) fn group_statuses(core: &DaemonCore) -> Vec<GroupStatus> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -101,13 +101,13 @@
     })
 }
 
-/// One replica as this daemon sees it.
+/// Returns the status of a replica as observed by this daemon.
 fn replica_status(fleet: &FleetView, zone: &ZoneId, allocation: &Allocation) -> ReplicaStatus {
     let now = Instant::now();
     let (state, reason) = match fleet.leases.serving_until(allocation, now) {
         Ok(until) => {
-            let left = until.saturating_duration_since(now).as_millis();
-            ("serving".to_owned(), format!("lease runs {left} ms more"))
+            let remaining = until.saturating_duration_since(now).as_millis();
+            ("serving".to_owned(), format!("lease runs {remaining} ms more"))
         }
         Err(refusal) => (allocation.phase.to_string(), refusal.to_string()),
     };
@@ -124,7 +124,7 @@
     }
 }
 
-/// Why a group stands as it does in this daemon's zone; none where there is no such group.
+/// Explains the state of a group in the local zone; `None` if the group does not exist.
 pub(crate) fn explain_group(core: &DaemonCore, name: &GroupName) -> Option<GroupExplanation> {
     let now = Instant::now();
     core.config_log.read(|config| {
@@ -159,7 +159,7 @@
         if divided < spec.count {
             let short = spec.count - divided;
             unblock.push(format!(
-                "{short} replicas fit into no availability zone that is heard of; label more nodes"
+                "{short} replicas fit into no availability zone that reports; label more nodes"
             ));
         }
         if unblock.is_empty() && serving < spec.count {
@@ -178,7 +178,7 @@
     })
 }
 
-/// What a command would change in this daemon's zone, a line each.
+/// Returns what a command would change in the local zone, one line for each change.
 pub(crate) fn dry_run(core: &DaemonCore, command: &ConfigCommand) -> Vec<String> {
     let now = Instant::now();
     let mut changed: ConfigState = core.config_log.read(Clone::clone);
@@ -189,8 +189,8 @@
     let plan = zone_planner(core, &changed, now).plan();
     let mut lines = Vec::new();
     for drain in &plan.drains {
-        let what = describe_drain(&drain.reason);
-        lines.push(format!("{}/{} would be {what}", *drain.group, drain.slot));
+        let action = describe_drain(&drain.reason);
+        lines.push(format!("{}/{} would be {action}", *drain.group, drain.slot));
     }
     for form in &plan.forms {
         let members: Vec<&str> = form.members.iter().map(|member| member.as_str()).collect();
@@ -211,7 +211,8 @@
     lines
 }
 
-/// Divides a changed group as the leader would, by what the zones last reported.
+/// Assumes a quota for a changed group: the local zone gets an even share of missing replicas, and
+/// never keeps more than the group's count.
 fn assume_quota(
     core: &DaemonCore,
     config: &mut ConfigState,
@@ -221,14 +222,14 @@
     let zones: Vec<ZoneId> = core.settings.peers.iter().map(|peer| peer.zone.clone()).collect();
     let mut counts = present.unwrap_or_default();
     let total: u32 = counts.values().sum();
-    let share = core.zone().to_string();
+    let zone = core.zone().to_string();
     if total < spec.count {
         let zones = u32::try_from(zones.iter().collect::<std::collections::BTreeSet<_>>().len());
         let even = (spec.count - total).div_ceil(zones.unwrap_or(1).max(1));
-        *counts.entry(share).or_default() += even;
+        *counts.entry(zone).or_default() += even;
     } else if total > spec.count {
-        let own = counts.get(&share).copied().unwrap_or(0);
-        counts.insert(share, own.min(spec.count));
+        let current = counts.get(&zone).copied().unwrap_or(0);
+        counts.insert(zone, current.min(spec.count));
     }
     let quota = hollowbarrow_schema::Quota { group: spec.name.clone(), counts };
     config.try_command(&ConfigCommand::SetQuota(quota));
--- a/crates/daemon/src/permits.rs
+++ b/crates/daemon/src/permits.rs
@@ -1,7 +1,7 @@
-//! Permits to send to upstreams that name limits.
+//! Permits to send requests to upstreams that have rate limits.
 //!
-//! The leader of the configuration's log issues them to all daemons, itself among them, while a
-//! majority has confirmed lately that it leads.
+//! The leader of the configuration log issues them to all daemons, including itself, while a
+//! majority has confirmed within the last election timeout that it leads.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,15 +20,15 @@
 
 use crate::core::DaemonCore;
 
-/// Header by which an upstream names the requests a second that it takes from all daemons.
+/// Header in which an upstream reports its limit of requests per second over all daemons.
 const LIMIT_HEADER: HeaderName = HeaderName::from_static("x-hollowbarrow-limit");
 
-/// Name of an upstream's life in what daemons tell each other of limits.
+/// Returns the name of an upstream's instance (name and epoch) in messages about rate limits.
 pub(crate) fn limit_name(key: &UpstreamKey) -> String {
     format!("{}/{}", key.name, *key.epoch)
 }
 
-/// A permit that was taken for a request; given back unless the request goes.
+/// A permit taken for a request; returned on drop unless the request was sent.
 pub(crate) struct HeldPermit {
     core: Arc<DaemonCore>,
     upstream: String,
@@ -37,15 +37,15 @@
 }
 
 impl HeldPermit {
-    /// Takes a permit, where the upstream needs one and one is there.
+    /// Takes a permit if the upstream needs one and one is available.
     pub(crate) fn take(core: &Arc<DaemonCore>, key: &UpstreamKey, now: Instant) -> Option<Self> {
         let upstream = limit_name(key);
         let permit = core.limits().take(&upstream, now)?;
         Some(Self { core: Arc::clone(core), upstream, permit, sent: AtomicBool::new(false) })
     }
 
-    /// Notes that the request goes to the upstream.
-    pub(crate) fn note_sent(&self) {
+    /// Records that the request is being sent to the upstream.
+    pub(crate) fn record_sent(&self) {
         self.sent.store(true, Ordering::Relaxed);
     }
 }
@@ -58,33 +58,34 @@
     }
 }
 
-/// A request's wait for a permit, over all its looks at the upstreams.
+/// A request's wait for a permit, across all its tries to select an upstream.
 pub(crate) struct PermitWait {
     core: Arc<DaemonCore>,
-    /// Until when it waits, once it has begun to.
+    /// End of the wait, once it has begun.
     limit: Option<Instant>,
 }
 
 impl PermitWait {
-    /// Creates the wait of a request that has not begun to.
+    /// Creates the wait of a request, not begun yet.
     pub(crate) fn new(core: &Arc<DaemonCore>) -> Self {
         Self { core: Arc::clone(core), limit: None }
     }
 
-    /// Waits until a permit of one of several upstreams may be there.
+    /// Waits until a permit of one of several upstreams may be available.
     ///
     /// # Errors
     ///
-    /// Gives the time after which one can come, where that is too late for the request.
+    /// Fails with the time until a permit can be available if that is too late for the request.
     pub(crate) async fn wait_for_any(&mut self, upstreams: &[String]) -> Result<(), Duration> {
         let now = Instant::now();
-        let came = self.core.permits_came.notified();
+        let granted = self.core.permits_granted.notified();
         let limit = self.limit.unwrap_or(now + PERMIT_WAIT_TIMEOUT);
         let left = limit.saturating_duration_since(now);
         {
             let mut limits = self.core.limits();
-            let may_come = limits.record_need_of_any(upstreams, left, self.limit.is_some(), now);
-            if left.is_zero() || !may_come {
+            let may_be_granted =
+                limits.record_need_of_any(upstreams, left, self.limit.is_some(), now);
+            if left.is_zero() || !may_be_granted {
                 return Err(limits.wait(upstreams, now));
             }
             if self.limit.is_none() {
@@ -92,8 +93,8 @@
             }
         }
         self.limit = Some(limit);
-        self.core.permits_wanted.notify_one();
-        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), came).await;
+        self.core.permit_requested.notify_one();
+        let _ = tokio::time::timeout(left.min(PERMIT_POLL_INTERVAL), granted).await;
         Ok(())
     }
 }
@@ -106,8 +107,14 @@
     }
 }
 
-/// Notes what an answer, whose request was sent at this time, says of its upstream's limit.
-pub(crate) fn note_limit(core: &DaemonCore, key: &UpstreamKey, headers: &HeaderMap, sent: Instant) {
+/// Records the rate limit that an upstream reports in an answer, whose request was sent at this
+/// time.
+pub(crate) fn record_limit(
+    core: &DaemonCore,
+    key: &UpstreamKey,
+    headers: &HeaderMap,
+    sent: Instant,
+) {
     let limit = match read_limit(headers, &LIMIT_HEADER) {
         Ok(limit) => limit,
         Err(error) => {
@@ -115,18 +122,18 @@
             return;
         }
     };
-    let word = LimitNotice { limit, span: NoticeInterval { sent, came: Instant::now() } };
-    if core.limits().record_notice(&limit_name(key), word) {
+    let notice = LimitNotice { limit, span: NoticeInterval { sent, came: Instant::now() } };
+    if core.limits().record_notice(&limit_name(key), notice) {
         let milli = limit_text(limit);
         log::info!("event=upstream_limit upstream={} milli_per_s={milli}", key.name);
     }
 }
 
-/// Issues permits while this daemon leads, and asks for them, until the process ends.
-pub(crate) async fn keep_permits(core: Arc<DaemonCore>) {
+/// Issues permits while this daemon leads, and requests them, until the process ends.
+pub(crate) async fn maintain_permits(core: Arc<DaemonCore>) {
     loop {
-        // Requests that wait are told of at once, everything else in a moment.
-        let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permits_wanted.notified()).await;
+        // Waiting requests are reported at once, everything else after `PERMIT_INTERVAL`.
+        let _ = tokio::time::timeout(PERMIT_INTERVAL, core.permit_requested.notified()).await;
         let now = Instant::now();
         if let Some(term) = leading_term(&core, now) {
             let grants = {
@@ -140,7 +147,7 @@
         let leader = core.config_log.view().leader;
         if let (Some(ask), Some(leader)) = (ask, leader) {
             if leader == *core.id() {
-                take_ask(&core, &leader, &ask);
+                handle_permit_ask(&core, &leader, &ask);
             } else {
                 core.send(&leader, PeerMessage::Fleet(FleetMessage::PermitAsk(ask)));
             }
@@ -148,7 +155,8 @@
     }
 }
 
-/// Term of this daemon, while it is sure that it leads.
+/// Returns the current term while a majority has confirmed within the last election timeout that
+/// this daemon leads.
 fn leading_term(core: &DaemonCore, now: Instant) -> Option<Term> {
     let view = core.config_log.view();
     let election = Duration::from_millis(core.settings.timing.election_ms);
@@ -156,8 +164,8 @@
     (view.leads && confirmed).then_some(view.term)
 }
 
-/// Answers what a daemon tells of upstreams that name limits; only a leader issues permits.
-pub(crate) fn take_ask(core: &DaemonCore, from: &DaemonId, ask: &PermitAsk) {
+/// Handles a daemon's request for permits; only the leader issues them.
+pub(crate) fn handle_permit_ask(core: &DaemonCore, from: &DaemonId, ask: &PermitAsk) {
     let now = Instant::now();
     let Some(term) = leading_term(core, now) else { return };
     let answer = {
@@ -171,15 +179,15 @@
 fn send_grants(core: &DaemonCore, grants: BTreeMap<DaemonId, PermitGrant>) {
     for (daemon, grant) in grants {
         if daemon == *core.id() {
-            take_grant(core, &grant);
+            handle_permit_grant(core, &grant);
         } else {
             core.send(&daemon, PeerMessage::Fleet(FleetMessage::PermitGrant(grant)));
         }
     }
 }
 
-/// Takes in the permits that were issued.
-pub(crate) fn take_grant(core: &DaemonCore, grant: &PermitGrant) {
+/// Records granted permits and notifies the requests that wait for them.
+pub(crate) fn handle_permit_grant(core: &DaemonCore, grant: &PermitGrant) {
     core.limits().record_grant(grant, Instant::now());
-    core.permits_came.notify_waiters();
+    core.permits_granted.notify_waiters();
 }
--- a/crates/daemon/src/table_change.rs
+++ b/crates/daemon/src/table_change.rs
@@ -1,4 +1,4 @@
-//! A change of a zone's table, and the orders that follow from a settled one.
+//! A change of a zone's table, and the orders derived from a settled table.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 use crate::core::wall_ms;
 use crate::fleet::FleetView;
 
-/// An order for a node, with the epoch that fences it.
+/// An order for a node, with its fencing epoch.
 pub(crate) type NodeOrderEntry = (NodeId, Epoch, NodeOrder);
 
 /// One change of the zone's table.
@@ -23,7 +23,7 @@
     pub(crate) losses: BTreeSet<ReplicaName>,
     pub(crate) drains: BTreeSet<ReplicaName>,
     pub(crate) forms: Vec<NewReplica>,
-    pub(crate) unneeded: u64,
+    pub(crate) epoch_increment: u64,
     pub(crate) specs: BTreeMap<GroupName, GroupSpec>,
 }
 
@@ -44,7 +44,7 @@
                 allocation.phase = AllocationPhase::Draining;
             }
         }
-        table.high_epoch = Epoch(*table.high_epoch + self.unneeded);
+        table.high_epoch = Epoch(*table.high_epoch + self.epoch_increment);
         for form in self.forms {
             let Some(spec) = self.specs.get(&form.group) else { continue };
             table.high_epoch = Epoch(*table.high_epoch + 1);
@@ -73,16 +73,19 @@
     }
 }
 
-/// Load orders for the members of a replica that have not taken theirs.
+/// Returns load orders for the members of a replica that have not accepted theirs yet.
 pub(crate) fn load_orders(fleet: &FleetView, allocation: &Allocation) -> Vec<NodeOrderEntry> {
-    let wants_order = |member: &NodeId| {
-        fleet.leases.observation(member).is_some_and(|sighting| sighting.epoch < allocation.epoch)
+    let needs_order = |member: &NodeId| {
+        fleet
+            .leases
+            .observation(member)
+            .is_some_and(|observation| observation.epoch < allocation.epoch)
     };
     allocation
         .members
         .iter()
         .zip(0..)
-        .filter(|(member, _)| wants_order(member))
+        .filter(|(member, _)| needs_order(member))
         .map(|(member, rank)| {
             let order = LoadOrder {
                 group: allocation.group.clone(),
@@ -97,7 +100,7 @@
         .collect()
 }
 
-/// A drain order for a replica's head, unless it drains already.
+/// Returns a drain order for a replica's head if it is ready, so not draining yet.
 pub(crate) fn drain_order(fleet: &FleetView, allocation: &Allocation) -> Option<NodeOrderEntry> {
     let head = allocation.head();
     let ready = fleet.leases.observation(head).is_some_and(|s| s.state == NodeState::Ready);
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -1,13 +1,13 @@
-//! Keeps the groups of the own availability zone while this daemon is its authority.
+//! Reconciles the groups of the local availability zone while this daemon is its authority.
 //!
-//! Each step compares the zone's table with what is asked for and what is
-//! observed, changes the table through the zone's members, and gives orders for
-//! what they have taken in. A controller that is not the authority does nothing.
+//! Each step compares the zone's table with the desired groups and the observed
+//! nodes, changes the table through the zone's members, and sends orders for the
+//! settled table. A controller that is not the authority does nothing.
 //!
-//! Invariants: an order is given only for an allocation in the settled table,
-//! under that allocation's epoch, and only if it surely ends before the
-//! authority's lease does; a replica that can still serve is drained before its
-//! nodes are given to another.
+//! Invariants: an order is sent only for an allocation in the settled table, with
+//! that allocation's epoch, and only if its timeout ends before the authority's
+//! lease; a replica that can still serve is drained before its nodes are assigned
+//! to another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -29,12 +29,12 @@
 use crate::zone_authority::{tick_authorities, with_authority};
 use crate::zone_demand::{replica_view, zone_demands};
 
-/// Pause between two steps.
-const STEP: Duration = Duration::from_millis(50);
-/// An order may take this part of the authority's lease at the longest.
-const ORDERS_PER_LEASE: u64 = 4;
-/// Pause before an order without effect is given again.
-const ORDER_PAUSE: Duration = Duration::from_millis(400);
+/// Pause between two reconciliation steps.
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// The timeout of an order is the authority's lease divided by this.
+const ORDER_TIMEOUT_DIVISOR: u64 = 4;
+/// Pause before an order that had no effect is sent again.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 struct OrderResult {
     node: NodeId,
@@ -42,26 +42,26 @@
     outcome: Result<(), SendOrderError>,
 }
 
-/// Keeps the groups of one zone.
+/// Reconciles the groups of one zone.
 pub(crate) struct ZoneController {
     core: Arc<DaemonCore>,
     stages: ReplicaStages,
-    ordered: BTreeMap<NodeId, (Epoch, Instant)>,
+    last_orders: BTreeMap<NodeId, (Epoch, Instant)>,
     results: (Sender<OrderResult>, Receiver<OrderResult>),
     last_step: Instant,
 }
 
-/// Runs the authorities that this daemon is a member of, and the controller of its own zone.
+/// Runs the authorities that this daemon is a member of, and the controller of the local zone.
 pub(crate) async fn control_zones(core: Arc<DaemonCore>) {
     let mut controller = ZoneController {
         core: Arc::clone(&core),
         stages: ReplicaStages::default(),
-        ordered: BTreeMap::new(),
+        last_orders: BTreeMap::new(),
         results: flume::unbounded(),
         last_step: Instant::now(),
     };
     loop {
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
         tick_authorities(&core);
         controller.step(Instant::now());
     }
@@ -69,22 +69,22 @@
 
 impl ZoneController {
     fn step(&mut self, now: Instant) {
-        self.take_results(now);
+        self.collect_results(now);
         let elapsed = now.saturating_duration_since(self.last_step);
         self.last_step = now;
         let Some(table) = self.sync_stages(now) else { return };
-        // A daemon that has just started has not yet had time to see who is there.
+        // A daemon that has just started has not observed the nodes for long enough yet.
         let informed = now >= self.core.started + self.core.lease() * 2;
         if !informed || !self.core.fleet().listed_once {
             return;
         }
-        self.measure(&table, elapsed, now);
+        self.record_zone_metrics(&table, elapsed, now);
         if !self.change_table(&table, now) {
-            self.give_orders(&table, now);
+            self.send_orders(&table, now);
         }
     }
 
-    /// Brings the stages in line with the zone's table; the table, if it can be acted on.
+    /// Updates the stages from the zone's table; returns the table if it is settled.
     fn sync_stages(&mut self, now: Instant) -> Option<ZoneTable> {
         let core = Arc::clone(&self.core);
         let authorities = core.authorities();
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Adds the time that has passed to group downtime and stranded accelerators.
-    fn measure(&self, table: &ZoneTable, elapsed: Duration, now: Instant) {
+    /// Adds the elapsed time to group downtime and stranded accelerators.
+    fn record_zone_metrics(&self, table: &ZoneTable, elapsed: Duration, now: Instant) {
         let core = &self.core;
         core.config_log.read(|config| {
             let fleet = core.fleet();
@@ -120,8 +120,8 @@
             }
             for demand in zone_demands(config, core.zone()) {
                 let up = serving.get(&demand.spec.name).copied().unwrap_or(0);
-                let down = demand.desired.saturating_sub(up);
-                core.telemetry.note_downtime(&demand.spec.name, down, elapsed);
+                let down = demand.wanted.saturating_sub(up);
+                core.telemetry.record_downtime(&demand.spec.name, down, elapsed);
             }
             let settings = &core.settings;
             let stranded: u32 = fleet
@@ -130,11 +130,11 @@
                 .filter(|node| node.is_available() && !serving_members.contains(&node.id))
                 .map(|node| node.accelerators)
                 .sum();
-            core.telemetry.note_stranded(stranded, elapsed);
+            core.telemetry.record_stranded(stranded, elapsed);
         });
     }
 
-    /// Plans and changes the table; returns whether it did.
+    /// Plans and changes the table; returns whether it changed.
     fn change_table(&mut self, table: &ZoneTable, now: Instant) -> bool {
         let core = Arc::clone(&self.core);
         let plan = core.config_log.read(|config| self.plan(config, table, now));
@@ -146,13 +146,13 @@
             drains.map(|drain| (drain.group.clone(), drain.slot)).collect()
         };
         let (losses, drains) = (named(true), named(false));
-        let unneeded = self.stray_nodes(table, &forms, now);
+        let epoch_increment = self.stray_epoch_increment(table, &forms, now);
         if loaded.is_empty()
             && released.is_empty()
             && losses.is_empty()
             && drains.is_empty()
             && forms.is_empty()
-            && unneeded == 0
+            && epoch_increment == 0
         {
             return false;
         }
@@ -167,7 +167,8 @@
         let specs: BTreeMap<GroupName, GroupSpec> = core.config_log.read(|config| {
             config.groups().iter().map(|(name, r)| (name.clone(), r.value.clone())).collect()
         });
-        let change = TableChange { loaded, released, losses, drains, forms, unneeded, specs };
+        let change =
+            TableChange { loaded, released, losses, drains, forms, epoch_increment, specs };
         with_authority(&core, core.zone(), |member| {
             member.change_table(|table| change.apply(table), now)
         })
@@ -195,21 +196,22 @@
             .plan()
     }
 
-    /// Whether a replica that should be there is known not to be what was ordered.
+    /// Returns whether a replica exceeds its load time, or one of its members has restarted or has
+    /// another epoch.
     fn has_failed(&self, fleet: &FleetView, allocation: &Allocation, now: Instant) -> bool {
         let name = (allocation.group.clone(), allocation.slot);
         let load_limit = Duration::from_millis(self.core.settings.timing.load_ms);
-        let slow = matches!(self.stages.get(&name), Some(ReplicaStage::Loading(life))
-            if now.saturating_duration_since(life.entered()) > load_limit);
+        let slow = matches!(self.stages.get(&name), Some(ReplicaStage::Loading(lifecycle))
+            if now.saturating_duration_since(lifecycle.entered()) > load_limit);
         let changed = allocation.members.iter().zip(&allocation.starts).any(|(member, start)| {
-            fleet.leases.observation(member).is_some_and(|sighting| {
-                sighting.start != *start || sighting.epoch != allocation.epoch
+            fleet.leases.observation(member).is_some_and(|observation| {
+                observation.start != *start || observation.epoch != allocation.epoch
             })
         });
         slow || changed
     }
 
-    /// Replicas whose members have all loaded, with the members' starts.
+    /// Returns replicas whose members have all loaded, with the members' start ids.
     fn newly_loaded(
         &self,
         table: &ZoneTable,
@@ -222,10 +224,10 @@
                     .members
                     .iter()
                     .map(|member| {
-                        let sighting = fleet.leases.observation(member)?;
-                        let ready = sighting.state == NodeState::Ready
-                            && sighting.epoch == allocation.epoch;
-                        ready.then_some(sighting.start)
+                        let observation = fleet.leases.observation(member)?;
+                        let ready = observation.state == NodeState::Ready
+                            && observation.epoch == allocation.epoch;
+                        ready.then_some(observation.start)
                     })
                     .collect();
                 Some(((allocation.group.clone(), allocation.slot), starts?))
@@ -233,7 +235,7 @@
             .collect()
     }
 
-    /// Draining replicas that have nothing in flight, or have had their time.
+    /// Returns draining replicas that have nothing in flight or have reached the drain timeout.
     fn drained(&self, table: &ZoneTable, now: Instant) -> BTreeSet<ReplicaName> {
         let fleet = self.core.fleet();
         let lease = self.core.lease();
@@ -241,14 +243,14 @@
         let mut drained = BTreeSet::new();
         for allocation in &table.allocations {
             let name = (allocation.group.clone(), allocation.slot);
-            let Some(ReplicaStage::Draining(life)) = self.stages.get(&name) else { continue };
-            let since = now.saturating_duration_since(life.entered());
-            // Until every daemon's lease of this replica has run out, some may still send.
-            let settled_at = life.entered() + lease * 2;
+            let Some(ReplicaStage::Draining(lifecycle)) = self.stages.get(&name) else { continue };
+            let since = now.saturating_duration_since(lifecycle.entered());
+            // Daemons may still send requests until their leases of this replica have expired.
+            let settled_at = lifecycle.entered() + lease * 2;
             let idle = fleet
                 .leases
                 .observation(allocation.head())
-                .is_none_or(|sighting| sighting.load == 0 && sighting.seen > settled_at);
+                .is_none_or(|observation| observation.load == 0 && observation.seen > settled_at);
             if (now > settled_at && idle) || since > limit {
                 drained.insert(name);
             }
@@ -256,25 +258,27 @@
         drained
     }
 
-    /// Forms that the weights store's limit leaves room for, most urgent first.
+    /// Returns the new replicas that fit the limit of concurrent loads, most urgent first.
     fn limit_loads(&self, plan: &ZonePlan, table: &ZoneTable) -> Vec<NewReplica> {
         let loading = table.allocations.iter().filter(|a| a.starts.is_empty()).count();
-        let room = (self.core.settings.limits.loads as usize).saturating_sub(loading);
-        plan.forms.iter().take(room).cloned().collect()
+        let free_loads = (self.core.settings.limits.loads as usize).saturating_sub(loading);
+        plan.forms.iter().take(free_loads).cloned().collect()
     }
 
-    /// Own nodes that hold something without being in any replica, to be released.
-    fn stray_nodes(&self, table: &ZoneTable, forms: &[NewReplica], now: Instant) -> u64 {
+    /// Returns the epoch increment that is needed to release stray nodes: 1 or 0.
+    fn stray_epoch_increment(&self, table: &ZoneTable, forms: &[NewReplica], now: Instant) -> u64 {
         let strays = self.list_strays(table, now);
-        let taken: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
+        let reserved: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
         let fresh = strays.iter().filter(|(node, epoch)| {
-            let ordered = self.ordered.get(node).is_some_and(|(given, _)| given > epoch);
-            !ordered && !taken.contains(node) && *epoch >= table.high_epoch
+            let last_orders =
+                self.last_orders.get(node).is_some_and(|(sent_epoch, _)| sent_epoch > epoch);
+            !last_orders && !reserved.contains(node) && *epoch >= table.high_epoch
         });
-        // An epoch above all others is needed only where a stray holds the highest one.
+        // A higher epoch is needed only if a stray node holds the highest one.
         u64::from(fresh.count() > 0)
     }
 
+    /// Returns owned nodes that are not idle although they are in no replica, with their epochs.
     fn list_strays(&self, table: &ZoneTable, now: Instant) -> Vec<(NodeId, Epoch)> {
         let core = &self.core;
         let fleet = core.fleet();
@@ -285,16 +289,16 @@
             .iter()
             .filter(|(id, node)| node.listed.zone == *core.zone() && !members.contains(id))
             .filter_map(|(id, _)| {
-                let sighting = fleet.leases.observation(id)?;
-                let ours = sighting.owner.as_ref() == Some(&core.settings.owner);
-                let fresh = now.saturating_duration_since(sighting.seen) < core.lease();
-                (ours && fresh && sighting.state != NodeState::Idle)
-                    .then(|| (id.clone(), sighting.epoch))
+                let observation = fleet.leases.observation(id)?;
+                let ours = observation.owner.as_ref() == Some(&core.settings.owner);
+                let fresh = now.saturating_duration_since(observation.seen) < core.lease();
+                (ours && fresh && observation.state != NodeState::Idle)
+                    .then(|| (id.clone(), observation.epoch))
             })
             .collect()
     }
 
-    fn give_orders(&mut self, table: &ZoneTable, now: Instant) {
+    fn send_orders(&mut self, table: &ZoneTable, now: Instant) {
         let mut orders: Vec<NodeOrderEntry> = Vec::new();
         {
             let fleet = self.core.fleet();
@@ -315,23 +319,24 @@
             orders.push((node, table.high_epoch, NodeOrder::Release));
         }
         for (node, epoch, order) in orders {
-            self.give_order(node, epoch, order, now);
+            self.send_order(node, epoch, order, now);
         }
     }
 
-    fn give_order(&mut self, node: NodeId, epoch: Epoch, order: NodeOrder, now: Instant) {
-        let recent = self.ordered.get(&node).is_some_and(|(given, at)| {
-            *given == epoch && now.saturating_duration_since(*at) < ORDER_PAUSE
+    fn send_order(&mut self, node: NodeId, epoch: Epoch, order: NodeOrder, now: Instant) {
+        let recent = self.last_orders.get(&node).is_some_and(|(sent_epoch, at)| {
+            *sent_epoch == epoch && now.saturating_duration_since(*at) < ORDER_RETRY_INTERVAL
         });
-        let left = self.core.authorities().get(self.core.zone()).and_then(|m| m.remaining(now));
+        let remaining =
+            self.core.authorities().get(self.core.zone()).and_then(|m| m.remaining(now));
         let timeout =
-            Duration::from_millis(self.core.settings.timing.authority_ms / ORDERS_PER_LEASE);
-        let in_time = left.is_some_and(|left| left > timeout);
+            Duration::from_millis(self.core.settings.timing.authority_ms / ORDER_TIMEOUT_DIVISOR);
+        let in_time = remaining.is_some_and(|remaining| remaining > timeout);
         let Some(address) = self.core.fleet().address(&node) else { return };
         if recent || !in_time {
             return;
         }
-        self.ordered.insert(node.clone(), (epoch, now));
+        self.last_orders.insert(node.clone(), (epoch, now));
         let order = FencedOrder { owner: self.core.settings.owner.clone(), epoch, order };
         let core = Arc::clone(&self.core);
         let results = self.results.0.clone();
@@ -341,7 +346,7 @@
         });
     }
 
-    fn take_results(&mut self, now: Instant) {
+    fn collect_results(&mut self, now: Instant) {
         let results: Vec<OrderResult> = self.results.1.try_iter().collect();
         for result in results {
             let Err(error) = result.outcome else { continue };
@@ -355,24 +360,26 @@
             if refusal.owner == self.core.settings.owner || refusal.owner.is_empty() {
                 self.raise_epoch(refusal.epoch, now);
             } else {
-                // Another system holds the node: step back from it.
+                // Another system owns the node, so it is excluded from planning.
                 self.core.fleet_mut().foreign.insert(result.node, refusal.owner);
             }
         }
     }
 
-    /// Makes later epochs higher than one that a node already holds.
-    fn raise_epoch(&self, held: Epoch, now: Instant) {
+    /// Raises the table's highest epoch to one that a node already holds.
+    fn raise_epoch(&self, node_epoch: Epoch, now: Instant) {
         with_authority(&self.core, self.core.zone(), |member| {
-            let behind = member.settled_table(now).is_some_and(|table| table.high_epoch < held);
+            let behind =
+                member.settled_table(now).is_some_and(|table| table.high_epoch < node_epoch);
             if behind {
-                member.change_table(|table| table.high_epoch = table.high_epoch.max(held), now);
+                member
+                    .change_table(|table| table.high_epoch = table.high_epoch.max(node_epoch), now);
             }
         });
     }
 }
 
-/// Whether a drain reason leaves requests in flight to wait for.
+/// Describes how and why a replica is drained.
 pub(crate) fn describe_drain(reason: &DrainReason) -> String {
     let how = if reason.is_loss() { "dissolved at once" } else { "drained" };
     format!("{how}: {reason}")
