--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -120,7 +120,7 @@
             }
             for demand in zone_demands(config, core.zone()) {
                 let up = serving.get(&demand.spec.name).copied().unwrap_or(0);
-                let down = demand.wanted.saturating_sub(up);
+                let down = demand.desired.saturating_sub(up);
                 core.telemetry.record_downtime(&demand.spec.name, down, elapsed);
             }
             let settings = &core.settings;
