--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -9,7 +9,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("apply")
-        .about("Creates or changes groups and outside endpoints from a file")
+        .about("Creates or changes groups and external endpoints from a file")
         .after_help(
             "Examples:\n  hollowbarrow apply groups.jsonc --dry-run\n  hollowbarrow apply groups.jsonc\n  \
              hollowbarrow apply one-group.jsonc --base 41",
@@ -19,7 +19,7 @@
             Arg::new("dry-run")
                 .long("dry-run")
                 .action(ArgAction::SetTrue)
-                .help("Only show what would move in the daemon's availability zone"),
+                .help("Only show what would change in the daemon's availability zone"),
         )
         .arg(
             Arg::new("base")
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -8,7 +8,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("check")
-        .about("Checks a settings file and lists every fault with its line")
+        .about("Checks a settings file and lists all faults with their lines")
         .after_help("Example:\n  hollowbarrow check examples/taborttuz/entry-a1.jsonc")
         .arg(positional("file", "Settings, JSON with comments"))
 }
--- a/src/commands/check_member.rs
+++ b/src/commands/check_member.rs
@@ -7,7 +7,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("check-member")
-        .about("Checks the settings of a gateway or a controller and lists every fault")
+        .about("Checks the settings of a gateway or a controller and lists all faults")
         .after_help("Example:\n  hollowbarrow check-member /etc/hollowbarrow/local.conf")
         .arg(positional("file", "Settings, JSON with comments"))
 }
--- a/src/commands/client.rs
+++ b/src/commands/client.rs
@@ -1,4 +1,4 @@
-//! Asks a daemon's operators' interface.
+//! Client of a daemon's operator interface.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::{CommandError, text};
 
-/// Longest time for one call.
+/// Time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Adds the arguments that all operators' verbs share.
+/// Adds the arguments that all operators' commands share.
 pub(crate) fn with_client_args(command: Command) -> Command {
     command
         .arg(
@@ -21,7 +21,7 @@
                 .long("server")
                 .env("HOLLOWBARROW_SERVER")
                 .default_value("http://127.0.0.1:8081")
-                .help("URL of a daemon's operators' interface"),
+                .help("URL of a daemon's operator interface"),
         )
         .arg(
             Arg::new("key")
@@ -37,11 +37,11 @@
                 .short('o')
                 .value_parser(["table", "json"])
                 .default_value("table")
-                .help("A table for people, or JSON"),
+                .help("Output format"),
         )
 }
 
-/// A daemon's operators' interface.
+/// Client of a daemon's operator interface.
 pub(crate) struct OperatorClient {
     server: String,
     key: String,
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Whether JSON is wanted instead of a table.
+    /// Returns whether the output is JSON instead of a table.
     pub(crate) fn wants_json(&self) -> bool {
         self.json
     }
 
-    /// Reads a path.
+    /// Reads the document at a path.
     pub(crate) fn get(&self, path: &str) -> Result<Value, CommandError> {
         let request = attohttpc::get(format!("{}{path}", self.server));
-        finish(request.bearer_auth(&self.key).timeout(CALL_TIMEOUT).send())
+        read_response(request.bearer_auth(&self.key).timeout(CALL_TIMEOUT).send())
     }
 
     /// Sends a document to a path.
@@ -76,18 +76,19 @@
     ) -> Result<Value, CommandError> {
         let body = serde_json::to_string(document).map_err(anyhow::Error::from)?;
         let request = attohttpc::post(format!("{}{path}", self.server));
-        finish(request.bearer_auth(&self.key).timeout(CALL_TIMEOUT).text(body).send())
+        read_response(request.bearer_auth(&self.key).timeout(CALL_TIMEOUT).text(body).send())
     }
 
     /// Submits a change and returns the revision under which it was accepted.
     ///
-    /// The change has one identity over all tries, so that a lost answer does no harm.
+    /// The change is sent once more if the outcome is unknown. Both attempts carry the same id, so
+    /// that the change is not applied twice when the first answer was lost.
     pub(crate) fn submit(
         &self,
         command: ConfigCommand,
         base: Option<Revision>,
     ) -> Result<Revision, CommandError> {
-        let id = ChangeId(format!("{:032x}", fresh_identity()));
+        let id = ChangeId(format!("{:032x}", random_id()));
         let change = ConfigChange { id, author: String::new(), base, command };
         let mut outcome = self.post("/changes", &change);
         if matches!(outcome, Err(CommandError::Unknown(_))) {
@@ -112,15 +113,16 @@
     }
 }
 
-/// A number that no other change has, from the system's source of randomness.
-fn fresh_identity() -> u128 {
+/// Draws an id that no other change has, using hashers that the standard library seeds from the
+/// system's source of randomness.
+fn random_id() -> u128 {
     use std::hash::{BuildHasher, Hasher};
     let draw = || std::collections::hash_map::RandomState::new().build_hasher().finish();
     u128::from(draw()) << 64 | u128::from(draw())
 }
 
-fn finish(sent: attohttpc::Result<attohttpc::Response>) -> Result<Value, CommandError> {
-    let response = sent.map_err(|error| match error.kind() {
+fn read_response(result: attohttpc::Result<attohttpc::Response>) -> Result<Value, CommandError> {
+    let response = result.map_err(|error| match error.kind() {
         attohttpc::ErrorKind::Io(source)
             if source.kind() != std::io::ErrorKind::ConnectionRefused =>
         {
@@ -131,9 +133,9 @@
     let status = response.status().as_u16();
     let text = response.text().map_err(|error| CommandError::Unknown(error.to_string()))?;
     let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
-    // A conflict and an invalid change are outcomes of the log, told as such.
-    let outcome = value.get("conflict").is_some() || value.get("invalid").is_some();
-    if (200..300).contains(&status) || outcome {
+    // Conflicts and invalid changes are outcomes of the log; the caller reads them from the body.
+    let is_outcome = value.get("conflict").is_some() || value.get("invalid").is_some();
+    if (200..300).contains(&status) || is_outcome {
         return Ok(value);
     }
     let fault: OperatorFault = serde_json::from_value(value.clone()).unwrap_or(OperatorFault {
--- a/src/commands/completions.rs
+++ b/src/commands/completions.rs
@@ -12,7 +12,10 @@
             "Example:\n  hollowbarrow completions bash > /etc/bash_completion.d/hollowbarrow",
         )
         .arg(
-            Arg::new("shell").required(true).value_parser(value_parser!(Shell)).help("Which shell"),
+            Arg::new("shell")
+                .required(true)
+                .value_parser(value_parser!(Shell))
+                .help("Shell to print the script for"),
         )
 }
 
--- a/src/commands/delete.rs
+++ b/src/commands/delete.rs
@@ -8,7 +8,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("delete")
-        .about("Deletes a group, whose replicas then drain, or an outside endpoint")
+        .about("Deletes a group, whose replicas then drain, or an external endpoint")
         .after_help(
             "Examples:\n  hollowbarrow delete drafts\n  hollowbarrow delete --endpoint other-half",
         )
@@ -17,7 +17,7 @@
             Arg::new("endpoint")
                 .long("endpoint")
                 .action(ArgAction::SetTrue)
-                .help("It is an endpoint"),
+                .help("Delete an endpoint, not a group"),
         )
 }
 
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -15,31 +15,31 @@
 
 use super::{CommandResult, text};
 
-/// Keys of the demo, good for nothing else.
+/// Keys that are valid in the demo only.
 const CALLER_KEY: &str = "demo-caller-key";
 const OPERATOR_KEY: &str = "demo-operator-key";
 const MODEL: &str = "lakeside-70b";
 const GROUP: &str = "drafts";
-/// Longest wait for one step.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit of one step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 const TOKENS: u32 = 40;
 
 pub(crate) fn command() -> Command {
     Command::new("demo")
-        .about("Shows the whole path in one process, with stand-in upstreams and no files")
+        .about("Runs the system in one process, with stand-in upstreams and no settings files")
         .after_help("Examples:\n  hollowbarrow demo\n  hollowbarrow demo --serve")
         .arg(
             Arg::new("serve")
                 .long("serve")
                 .action(ArgAction::SetTrue)
-                .help("Stay up, and print lines to paste"),
+                .help("Keep running, and print commands to try"),
         )
         .arg(
             Arg::new("log")
                 .long("log")
                 .env("HOLLOWBARROW_LOG")
                 .default_value("off")
-                .help("Levels to log, as info"),
+                .help("Log levels, such as info"),
         )
 }
 
@@ -49,7 +49,7 @@
         .enable_all()
         .build()
         .context("cannot start the runtime")?;
-    let data = tempfile::tempdir().context("cannot make a folder for state")?;
+    let data = tempfile::tempdir().context("cannot create a data folder")?;
     let entered = runtime.enter();
     let fleet = StandinFleet::start(&FleetConfig::new(&[ZoneId::from("a")], 2, 4));
     let settings = demo_settings(&fleet.platform_url(), data.path())?;
@@ -62,9 +62,9 @@
         operators: format!("http://{}", daemon.operators()),
         started: Instant::now(),
     };
-    demo.steps()?;
+    demo.run_steps()?;
     if arguments.get_flag("serve") {
-        demo.print_lines();
+        demo.print_commands();
         runtime.block_on(std::future::pending::<()>());
     }
     runtime.block_on(daemon.stop());
@@ -99,23 +99,23 @@
 }
 
 impl DemoRun {
-    fn say(&self, text: &str) {
+    fn print_step(&self, text: &str) {
         println!("[{:6.2} s] {text}", self.started.elapsed().as_secs_f64());
     }
 
-    fn steps(&self) -> Result<()> {
-        self.say(
-            "an entry node is up, before 8 model workers in 2 fabric domains and a booking service",
+    fn run_steps(&self) -> Result<()> {
+        self.print_step(
+            "started an entry node, 8 model workers in 2 fabric domains and a booking service",
         );
         self.label_and_apply()?;
         let formed = self.wait_until("the group serves", |demo| demo.serving() == Some(1))?;
-        self.say(&format!("group {GROUP} serves after {:.2} s", formed.as_secs_f64()));
+        self.print_step(&format!("group {GROUP} serves after {:.2} s", formed.as_secs_f64()));
         let first = self.stream_chat("Which pitch suits a caravan?")?;
         let free = self.call("GET", "/pitches/7", None)?;
         ensure!(free["free"] == true, "the pitch is not free: {free}");
-        self.say(&format!("plain call: pitch 7 is free: {free}"));
+        self.print_step(&format!("plain call: pitch 7 is free: {free}"));
         self.hold_twice()?;
-        let (down, repair) = self.lose_member()?;
+        let (down, repair) = self.kill_member()?;
         let again = self.stream_chat("Does it take dogs?")?;
         println!();
         println!(
@@ -136,18 +136,20 @@
                 json!({"change_labels": {"node": *node, "set": {"given": "hollowbarrow"}}});
             self.change(&format!("label {}", *node), &labels)?;
         }
-        self.say("labelled the nodes given=hollowbarrow");
+        self.print_step("labelled the nodes given=hollowbarrow");
         let group = json!({"put_group": {
             "name": GROUP, "model": MODEL, "version": "1", "size": 3, "count": 1,
             "selector": {"match_labels": {"given": "hollowbarrow"}}}});
         self.change("put group", &group)?;
-        self.say(&format!("applied group {GROUP}: model {MODEL}, 3 nodes in one fabric domain"));
+        self.print_step(&format!(
+            "applied group {GROUP}: model {MODEL}, 3 nodes in one fabric domain"
+        ));
         Ok(())
     }
 
     fn change(&self, id: &str, command: &Value) -> Result<()> {
         let change = json!({"id": id, "author": "demo", "command": command});
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             let answer = attohttpc::post(format!("{}/changes", self.operators))
                 .bearer_auth(OPERATOR_KEY)
@@ -158,8 +160,8 @@
             if status.is_success() {
                 return Ok(());
             }
-            // The same change may be sent again; right after the start there is no leader yet.
-            if status.as_u16() != 503 || begun.elapsed() > PATIENCE {
+            // There is no leader right after the start. The change has an id and can be sent again.
+            if status.as_u16() != 503 || started_at.elapsed() > STEP_TIMEOUT {
                 bail!("the change was refused with {status}: {text}");
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -175,13 +177,13 @@
         groups[0]["serving"].as_u64()
     }
 
-    fn wait_until(&self, what: &str, holds: impl Fn(&Self) -> bool) -> Result<Duration> {
-        let begun = Instant::now();
-        while !holds(self) {
-            ensure!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
+    fn wait_until(&self, what: &str, condition: impl Fn(&Self) -> bool) -> Result<Duration> {
+        let started_at = Instant::now();
+        while !condition(self) {
+            ensure!(started_at.elapsed() < STEP_TIMEOUT, "timed out waiting until {what}");
             std::thread::sleep(Duration::from_millis(20));
         }
-        Ok(begun.elapsed())
+        Ok(started_at.elapsed())
     }
 
     /// Streams a chat, checks every token and returns the time to the first one.
@@ -189,7 +191,7 @@
         let messages = json!([{"role": "user", "content": question}]);
         let body = json!({
             "model": MODEL, "stream": true, "max_tokens": TOKENS, "messages": messages});
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let answer = attohttpc::post(format!("{}/v1/chat/completions", self.callers))
             .bearer_auth(CALLER_KEY)
             .text(body.to_string())
@@ -208,16 +210,19 @@
             }
             let chunk: Value = serde_json::from_str(data)?;
             if let Some(text) = chunk["choices"][0]["delta"]["content"].as_str() {
-                first.get_or_insert_with(|| begun.elapsed());
+                first.get_or_insert_with(|| started_at.elapsed());
                 let expected = expected_token(&messages.to_string(), tokens);
                 ensure!(text == expected, "token {tokens} is {text:?}, not {expected:?}");
                 tokens += 1;
             }
         }
-        ensure!(done && tokens == TOKENS, "only {tokens} of {TOKENS} tokens came");
+        ensure!(
+            done && tokens == TOKENS,
+            "received {tokens} of {TOKENS} tokens, end of stream: {done}"
+        );
         let first = first.unwrap_or_default();
-        self.say(&format!(
-            "streamed {tokens} tokens whole and in order, the first after {:.1} ms",
+        self.print_step(&format!(
+            "streamed all {tokens} tokens in order, the first after {:.1} ms",
             first.as_secs_f64() * 1000.0
         ));
         Ok(first)
@@ -239,33 +244,36 @@
 
     fn hold_twice(&self) -> Result<()> {
         let hold = self.call("POST", "/holds/7", Some("family-12"))?;
-        self.say(&format!("held pitch 7, not repeatable: {hold}"));
+        self.print_step(&format!("held pitch 7, not repeatable: {hold}"));
         let again = self.call("POST", "/holds/7", Some("family-12"))?;
-        ensure!(hold == again, "the resent hold got another answer: {again}");
+        ensure!(hold == again, "the repeated hold got a different answer: {again}");
         let runs = self.fleet.history().counts().get("family-12").copied().unwrap_or(0);
         ensure!(runs == 1, "the hold ran {runs} times");
-        self.say("sent the same hold again: the first answer came back, and it ran once");
+        self.print_step("sent the same hold again: the first answer was returned, and it ran once");
         Ok(())
     }
 
-    /// Kills a member; returns how long until the group stood still and until it served again.
-    fn lose_member(&self) -> Result<(Duration, Duration)> {
-        let member = self.a_member()?;
+    /// Kills a member; returns the times until the group stops serving and until it serves again.
+    fn kill_member(&self) -> Result<(Duration, Duration)> {
+        let member = self.find_member()?;
         let killed = Instant::now();
         self.fleet.kill(&member);
-        self.say(&format!("killed member {}", *member));
-        let down = self.wait_until("the group gives up", |demo| demo.serving() == Some(0))?;
-        self.say(&format!("the group gave up its traffic {:.2} s after", down.as_secs_f64()));
-        self.wait_until("the group is back", |demo| demo.serving() == Some(1))?;
+        self.print_step(&format!("killed member {}", *member));
+        let down = self.wait_until("the group stops serving", |demo| demo.serving() == Some(0))?;
+        self.print_step(&format!(
+            "the group stopped serving {:.2} s after the kill",
+            down.as_secs_f64()
+        ));
+        self.wait_until("the group serves again", |demo| demo.serving() == Some(1))?;
         let repair = killed.elapsed();
-        self.say(&format!(
-            "it serves again on a spare, {:.2} s after the loss",
+        self.print_step(&format!(
+            "the group serves again, with a spare node, {:.2} s after the kill",
             repair.as_secs_f64()
         ));
         Ok((down, repair))
     }
 
-    fn a_member(&self) -> Result<NodeId> {
+    fn find_member(&self) -> Result<NodeId> {
         let answer =
             attohttpc::get(format!("{}/nodes", self.operators)).bearer_auth(OPERATOR_KEY).send()?;
         let nodes: Vec<BTreeMap<String, Value>> = serde_json::from_str(&answer.text()?)?;
@@ -276,9 +284,9 @@
         Ok(NodeId::from(name))
     }
 
-    fn print_lines(&self) {
+    fn print_commands(&self) {
         println!();
-        println!("The demo stays up until you press Ctrl-C. Lines to paste:");
+        println!("The demo runs until you press Ctrl-C. Commands to try:");
         println!(
             "  curl -N {}/v1/chat/completions -H 'authorization: Bearer {CALLER_KEY}' \\",
             self.callers
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -10,10 +10,15 @@
 
 pub(crate) fn command() -> Command {
     Command::new("drain")
-        .about("Drains a node: its replica ends what is in flight and gives its nodes up")
+        .about("Drains a node: its replica completes the requests in flight and releases its nodes")
         .after_help("Examples:\n  hollowbarrow drain a-d0-n1\n  hollowbarrow drain a-d0-n1 --undo")
         .arg(positional("node", "Name of the node"))
-        .arg(Arg::new("undo").long("undo").action(ArgAction::SetTrue).help("Let it be used again"))
+        .arg(
+            Arg::new("undo")
+                .long("undo")
+                .action(ArgAction::SetTrue)
+                .help("Allow the node to be used again"),
+        )
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> CommandResult {
--- a/src/commands/exit.rs
+++ b/src/commands/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, and the errors that lead to them.
+//! Exit codes, and the errors that map to them.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 use hollowbarrow_schema::settings::ReadSettingsError;
 use thiserror::Error;
 
-/// What the help says of exit codes.
+/// Section of the help that lists the exit codes.
 pub(crate) const HELP: &str = "\
 Exit codes:
   0  done
@@ -14,9 +14,9 @@
   2  bad input: arguments, settings or a document
   3  refused: a conflict, a wrong key or something that does not exist
   4  not reached: no daemon, or no leader of the log
-  5  outcome unknown: it may have happened; the same command can be sent again";
+  5  outcome unknown: the change may have been applied; the same command can be sent again";
 
-/// How a command ended when it did not succeed.
+/// Kind of failure of a command, which determines its exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExitKind {
     Failed,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Why a command did not succeed.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     #[error("{origin} has faults:\n{}", to_lines(faults))]
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -12,7 +12,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("explain")
-        .about("Explains why a group stands as it does in the daemon's availability zone")
+        .about("Explains the state of a group in the daemon's availability zone")
         .after_help("Example:\n  hollowbarrow explain drafts")
         .arg(positional("group", "Name of the group"))
 }
@@ -24,7 +24,7 @@
         print_json(&explanation);
         return Ok(());
     }
-    println!("asked for by {}", explanation["author"].as_str().unwrap_or("-"));
+    println!("requested by {}", explanation["author"].as_str().unwrap_or("-"));
     println!(
         "zone {} is to run {} replicas",
         explanation["zone"].as_str().unwrap_or("-"),
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// How long ago a moment was, by this machine's clock.
+/// Returns how long ago a time was by this machine's clock, which may be behind the daemon's.
 fn describe_age(since_ms: u64) -> String {
     let since = UNIX_EPOCH + Duration::from_millis(since_ms);
     match SystemTime::now().duration_since(since) {
--- a/src/commands/groups.rs
+++ b/src/commands/groups.rs
@@ -19,7 +19,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("groups")
-        .about("Lists the groups and how many of their replicas serve")
+        .about("Lists the groups and the number of their replicas that serve")
         .after_help("Example:\n  hollowbarrow groups")
 }
 
--- a/src/commands/hash_key.rs
+++ b/src/commands/hash_key.rs
@@ -10,7 +10,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("hash-key")
-        .about("Reads a key from standard input and prints the hash that settings hold")
+        .about("Reads a key from standard input and prints the hash to put into the settings")
         .after_help("Example:\n  printf %s \"$KEY\" | hollowbarrow hash-key")
 }
 
--- a/src/commands/label.rs
+++ b/src/commands/label.rs
@@ -22,19 +22,24 @@
                 .help("A node (unless --all), then KEY=VALUE to set and KEY- to remove"),
         )
         .arg(Arg::new("all").long("all").action(ArgAction::SetTrue).help("Label all model workers"))
-        .arg(Arg::new("zone").long("zone").requires("all").help("Only those of an availability zone"))
+        .arg(
+            Arg::new("zone")
+                .long("zone")
+                .requires("all")
+                .help("Label only nodes of an availability zone"),
+        )
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> CommandResult {
     let client = OperatorClient::new(arguments);
-    let mut words: Vec<&str> =
+    let mut label_arguments: Vec<&str> =
         arguments.get_many::<String>("words").into_iter().flatten().map(String::as_str).collect();
     let nodes = if arguments.get_flag("all") {
         all_nodes(&client, text(arguments, "zone"))?
     } else {
-        vec![NodeId::from(words.remove(0))]
+        vec![NodeId::from(label_arguments.remove(0))]
     };
-    let (set, remove) = parse_words(&words)?;
+    let (set, remove) = parse_labels(&label_arguments)?;
     for node in nodes {
         let change =
             LabelChange { node: node.clone(), set: Labels(set.clone()), remove: remove.clone() };
@@ -44,7 +49,8 @@
     Ok(())
 }
 
-/// Every listed model worker; plain services' nodes have no accelerators.
+/// Returns all model workers that the daemon lists. Nodes of plain services have no accelerators
+/// and are left out.
 fn all_nodes(client: &OperatorClient, zone: &str) -> Result<Vec<NodeId>, CommandError> {
     let nodes = client.get("/nodes")?;
     let rows = nodes.as_array().into_iter().flatten();
@@ -55,18 +61,20 @@
         .collect())
 }
 
-/// Splits words into labels to set and labels to remove.
-fn parse_words(words: &[&str]) -> Result<(BTreeMap<String, String>, Vec<String>), CommandError> {
+/// Parses KEY=VALUE and KEY- arguments into the labels to set and the labels to remove.
+fn parse_labels(
+    label_arguments: &[&str],
+) -> Result<(BTreeMap<String, String>, Vec<String>), CommandError> {
     let mut set = BTreeMap::new();
     let mut remove = Vec::new();
-    for word in words {
-        match (word.split_once('='), word.strip_suffix('-')) {
+    for argument in label_arguments {
+        match (argument.split_once('='), argument.strip_suffix('-')) {
             (Some((key, value)), _) if !key.is_empty() => {
                 set.insert(key.to_owned(), value.to_owned());
             }
             (None, Some(key)) if !key.is_empty() => remove.push(key.to_owned()),
             _ => {
-                let message = format!("{word:?} is neither KEY=VALUE nor KEY-");
+                let message = format!("{argument:?} is neither KEY=VALUE nor KEY-");
                 return Err(CommandError::BadInput(message));
             }
         }
--- a/src/commands/member.rs
+++ b/src/commands/member.rs
@@ -15,16 +15,16 @@
 use super::serve::wait_for_signal;
 use super::{CommandError, CommandResult, text};
 
-/// Variable that holds the path of the settings where no argument does.
+/// Environment variable with the path of the settings, used where the argument is not given.
 const SETTINGS_VARIABLE: &str = "HOLLOWBARROW_CONFIG";
 
 pub(crate) fn gateway_command() -> Command {
-    let about = "Runs a gateway, which takes requests of callers to workers";
+    let about = "Runs a gateway, which forwards callers' requests to workers";
     with_arguments(Command::new("gateway").about(about))
 }
 
 pub(crate) fn controller_command() -> Command {
-    let about = "Runs a controller, which keeps the configuration, the workers and the replicas";
+    let about = "Runs a controller, which manages the configuration, the workers and the replicas";
     with_arguments(Command::new("controller").about(about))
 }
 
@@ -42,7 +42,7 @@
                 .long("log")
                 .env("HOLLOWBARROW_LOG")
                 .default_value("info")
-                .help("Levels to log, as info or warn,hollowbarrow_log=debug"),
+                .help("Log levels, such as info or warn,hollowbarrow_log=debug"),
         )
 }
 
@@ -74,7 +74,8 @@
     Ok(())
 }
 
-/// One thread: the machines have a part of one core, and switching threads costs time there.
+/// Builds a runtime with one thread: the machines provide a fraction of one core, where switching
+/// between threads costs time.
 fn start_runtime() -> anyhow::Result<Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -82,7 +83,7 @@
         .context("cannot start the runtime")
 }
 
-/// Reads and checks settings of a gateway or a controller.
+/// Reads and checks a settings file of a gateway or a controller.
 pub(crate) fn load_member_settings(path: &str) -> Result<MemberSettings, CommandError> {
     let contents = std::fs::read_to_string(path)
         .map_err(|error| CommandError::BadInput(format!("cannot read {path}: {error}")))?;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file for each subcommand.
+//! The command line, with one module for each subcommand.
 
 mod apply;
 mod check;
@@ -31,7 +31,7 @@
 /// Result of a subcommand.
 pub(crate) type CommandResult = Result<(), CommandError>;
 
-/// Builds the whole command line.
+/// Builds the complete command line.
 pub(crate) fn command_line() -> Command {
     Command::new("hollowbarrow")
         .version(env!("CARGO_PKG_VERSION"))
@@ -60,7 +60,7 @@
         .subcommand(completions::command())
 }
 
-/// Parses the arguments, runs the subcommand and says how it went.
+/// Parses the arguments, runs the subcommand, prints its error and returns the exit code.
 pub(crate) fn run() -> ExitCode {
     let matches = match command_line().try_get_matches() {
         Ok(matches) => matches,
@@ -104,12 +104,12 @@
     }
 }
 
-/// A required positional argument.
+/// Returns a required positional argument.
 pub(crate) fn positional(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name).required(true).help(help)
 }
 
-/// Text of a required argument.
+/// Returns the text of an argument; empty where it is absent.
 pub(crate) fn text<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
     arguments.get_one::<String>(name).map(String::as_str).unwrap_or_default()
 }
--- a/src/commands/nodes.rs
+++ b/src/commands/nodes.rs
@@ -19,7 +19,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("nodes")
-        .about("Lists the nodes that the platform names, with what is observed of them")
+        .about("Lists the nodes of the platform and their observed state")
         .after_help("Example:\n  hollowbarrow nodes --server http://10.0.0.1:8081 -o json")
 }
 
--- a/src/commands/release.rs
+++ b/src/commands/release.rs
@@ -9,13 +9,13 @@
 
 pub(crate) fn command() -> Command {
     Command::new("release")
-        .about("Lets a request go that is held because upstreams have ended under it")
+        .about("Releases a request that is quarantined because it crashed upstreams")
         .after_help(
             "Examples:\n  hollowbarrow release 00c0ffee00c0ffee --server http://10.0.0.4:8080\n\n\
-             The content is that of event=request_held or of a failed request's log line.\n\
-             The server is a daemon's operators' interface, or the control address of a controller.",
+             The content is logged with event=request_held and with each failed request.\n\
+             The server is a daemon's operator interface, or the control address of a controller.",
         )
-        .arg(positional("content", "Content of the request, 16 hexadecimal digits"))
+        .arg(positional("content", "Content hash of the request, 16 hexadecimal digits"))
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> CommandResult {
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -11,7 +11,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("serve")
-        .about("Runs a daemon until it is told to stop by SIGTERM or SIGINT")
+        .about("Runs a daemon until it receives SIGTERM or SIGINT")
         .after_help("Example:\n  hollowbarrow serve --settings /etc/hollowbarrow/entry-a1.jsonc")
         .arg(
             Arg::new("settings")
@@ -24,7 +24,7 @@
                 .long("log")
                 .env("HOLLOWBARROW_LOG")
                 .default_value("info")
-                .help("Levels to log, as info or warn,hollowbarrow_log=debug"),
+                .help("Log levels, such as info or warn,hollowbarrow_log=debug"),
         )
 }
 
@@ -46,8 +46,8 @@
     Ok(())
 }
 
-/// Waits until the process is asked to stop. A request to read the settings again changes nothing:
-/// what may change while running comes from other daemons.
+/// Waits for SIGTERM or SIGINT. SIGHUP is only logged: settings are not read again, because what
+/// can change at run time comes from other daemons.
 pub(crate) async fn wait_for_signal() -> std::io::Result<()> {
     let mut reload = signal(SignalKind::hangup())?;
     let mut terminate = signal(SignalKind::terminate())?;
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -9,7 +9,7 @@
 
 pub(crate) fn command() -> Command {
     Command::new("status")
-        .about("Says how a daemon stands: its log, its zone's authority, what it strands")
+        .about("Shows a daemon's state: its log, its zone's authority, its stranded accelerators")
         .after_help("Example:\n  hollowbarrow status --server http://10.0.0.1:8081")
 }
 
--- a/src/commands/table.rs
+++ b/src/commands/table.rs
@@ -1,9 +1,9 @@
-//! Tables for people.
+//! Prints results as tables or as JSON.
 
 use comfy_table::{Table, presets};
 use serde_json::Value;
 
-/// Prints rows of JSON objects as a table of some of their fields, or all as JSON.
+/// Prints rows of JSON objects as a table of the fields in `columns`, or completely as JSON.
 pub(crate) fn print_rows(rows: &Value, columns: &[(&str, &str)], json: bool) {
     if json {
         print_json(rows);
--- a/src/commands/voters.rs
+++ b/src/commands/voters.rs
@@ -9,13 +9,13 @@
 
 pub(crate) fn command() -> Command {
     Command::new("voters")
-        .about("Exchanges daemons that vote on the logs, as after the loss of a disk")
+        .about("Replaces daemons that vote on the logs, for example after the loss of a disk")
         .after_help(
             "Examples:\n  hollowbarrow voters --remove entry-2 --add entry-5\n  \
              hollowbarrow voters --remove entry-2 --add entry-2   (its disk was replaced)",
         )
-        .arg(Arg::new("remove").long("remove").help("Daemon that votes no more"))
-        .arg(Arg::new("add").long("add").help("Daemon with a data folder that is to vote"))
+        .arg(Arg::new("remove").long("remove").help("Daemon that stops voting"))
+        .arg(Arg::new("add").long("add").help("Daemon with a data folder that starts voting"))
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> CommandResult {
--- a/src/commands/why.rs
+++ b/src/commands/why.rs
@@ -6,16 +6,17 @@
 
 use super::{CommandError, CommandResult, positional, text};
 
-/// Causes that lie with the whole fleet and not with a worker that was asked.
+/// Causes that concern the fleet as a whole and not one worker that was tried.
 const FLEET_CAUSES: [&str; 2] = ["cause=workers_full", "cause=no_worker"];
-/// Events that say how the fleet stood; the last of each before the request tells.
+/// Events that record the state of the fleet; the last of each before a refusal shows its reason.
 const FLEET_EVENTS: [&str; 3] = ["event=quorum ", "event=replicas ", "event=free_workers "];
-/// Time around a request in which what happened to its workers belongs to its story, in seconds.
-const AROUND_SECONDS: f64 = 5.0;
+/// Time before and after a request's log lines in which lines about its workers are relevant, in
+/// seconds.
+const RELEVANT_SECONDS: f64 = 5.0;
 
 pub(crate) fn command() -> Command {
     Command::new("why")
-        .about("Tells a request's story from the logs of many processes, in order of time")
+        .about("Shows the lines of many processes' logs that explain a request, in order of time")
         .after_help("Example:\n  hollowbarrow why 9c41d07be2a35f68 gateway-*.log controller-*.log")
         .arg(positional("request", "Identity of the request"))
         .arg(
@@ -37,11 +38,11 @@
         lines.extend(contents.lines().filter_map(|line| LogLine::read(file, line)));
     }
     lines.sort_by(|a, b| a.time.cmp(&b.time));
-    let story = tell_story(request, &lines);
-    if story.is_empty() {
+    let selected = select_lines(request, &lines);
+    if selected.is_empty() {
         return Err(CommandError::Refused(format!("no log names the request {request}")));
     }
-    for line in story {
+    for line in selected {
         println!("{}  {}", line.file, line.text);
     }
     Ok(())
@@ -50,7 +51,7 @@
 /// One line of a log.
 struct LogLine {
     file: String,
-    /// As written, so that it sorts; lines of one deployment have one form of time.
+    /// Time as written. Lines of one deployment have the same time format, so they sort as text.
     time: String,
     text: String,
 }
@@ -61,7 +62,7 @@
         Some(Self { file: file.to_owned(), time: time.to_owned(), text: line.to_owned() })
     }
 
-    /// Seconds of the day, for distances within a story.
+    /// Returns the second of the day, to compute the time between two lines.
     fn seconds(&self) -> Option<f64> {
         let clock = self.time.split('T').nth(1)?.trim_end_matches('Z');
         let mut parts = clock.split(':').map(|part| part.parse::<f64>().ok());
@@ -73,45 +74,49 @@
         self.text.contains(&format!("request={request:?}"))
     }
 
-    /// Workers that the line names: values that appear in no other role would be noise.
+    /// Returns the workers that the line names after `last=`, `from=` and `to=`. Values of other
+    /// keys are ignored, because they would be unrelated.
     fn workers(&self) -> impl Iterator<Item = &str> {
         let separators = |c: char| !(c.is_ascii_alphanumeric() || c == '-' || c == '_');
         let last = self.text.split_once("last=").map_or("", |(_, last)| last);
         let tried = last.split(separators);
-        let moved = ["from=", "to="].into_iter().filter_map(|key| {
+        let resumed = ["from=", "to="].into_iter().filter_map(|key| {
             let (_, rest) = self.text.split_once(key)?;
             rest.split(' ').next()
         });
-        tried.chain(moved).filter(|word| word.len() > 2 && word.contains(['-', '_']))
+        tried.chain(resumed).filter(|word| word.len() > 2 && word.contains(['-', '_']))
     }
 }
 
-/// The lines that name the request, and what happened to its workers around them.
-fn tell_story<'a>(request: &str, lines: &'a [LogLine]) -> Vec<&'a LogLine> {
-    let own: Vec<&LogLine> = lines.iter().filter(|line| line.names_request(request)).collect();
-    let workers: BTreeSet<&str> = own.iter().flat_map(|line| line.workers()).collect();
-    let times: Vec<f64> = own.iter().filter_map(|line| line.seconds()).collect();
+/// Selects the lines that name the request, the lines about its workers close to these in time, and
+/// the fleet's state if that was the cause of a refusal.
+fn select_lines<'a>(request: &str, lines: &'a [LogLine]) -> Vec<&'a LogLine> {
+    let request_lines: Vec<&LogLine> =
+        lines.iter().filter(|line| line.names_request(request)).collect();
+    let workers: BTreeSet<&str> = request_lines.iter().flat_map(|line| line.workers()).collect();
+    let times: Vec<f64> = request_lines.iter().filter_map(|line| line.seconds()).collect();
     let near = |line: &LogLine| {
         let seconds = line.seconds();
-        seconds.is_some_and(|at| times.iter().any(|time| (time - at).abs() <= AROUND_SECONDS))
+        seconds.is_some_and(|at| times.iter().any(|time| (time - at).abs() <= RELEVANT_SECONDS))
     };
-    let belongs = |line: &&LogLine| {
-        let control = line.text.contains("worker=") || line.text.contains("members=");
-        let about = workers.iter().any(|worker| line.text.contains(worker));
-        line.names_request(request) || (control && about && near(line))
+    let is_relevant = |line: &&LogLine| {
+        let has_worker_key = line.text.contains("worker=") || line.text.contains("members=");
+        let names_worker = workers.iter().any(|worker| line.text.contains(worker));
+        line.names_request(request) || (has_worker_key && names_worker && near(line))
     };
-    if own.is_empty() {
+    if request_lines.is_empty() {
         return Vec::new();
     }
-    let fleet = tell_fleet(&own, lines);
+    let fleet = select_fleet_lines(&request_lines, lines);
     let is_fleet = |line: &&LogLine| fleet.iter().any(|known| std::ptr::eq(*known, *line));
-    lines.iter().filter(|line| belongs(line) || is_fleet(line)).collect()
+    lines.iter().filter(|line| is_relevant(line) || is_fleet(line)).collect()
 }
 
-/// How the fleet stood when it refused a request: the last line of each kind before.
-fn tell_fleet<'a>(own: &[&LogLine], lines: &'a [LogLine]) -> Vec<&'a LogLine> {
-    let refused =
-        own.iter().find(|line| FLEET_CAUSES.iter().any(|cause| line.text.contains(cause)));
+/// Selects the last line of each fleet event before a request was refused for the fleet's state.
+fn select_fleet_lines<'a>(request_lines: &[&LogLine], lines: &'a [LogLine]) -> Vec<&'a LogLine> {
+    let refused = request_lines
+        .iter()
+        .find(|line| FLEET_CAUSES.iter().any(|cause| line.text.contains(cause)));
     let Some(refused) = refused else { return Vec::new() };
     let before = |event: &&str| {
         let mut earlier = lines.iter().rev().filter(|line| line.time <= refused.time);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The one binary of hollowbarrow: the daemon, the operators' verbs and the demo.
+//! The `hollowbarrow` binary: the daemon, the gateway, the controller, the operators' commands and
+//! the demo.
 
 mod commands;
 
