--- a/tests/platform/backoff.rs
+++ b/tests/platform/backoff.rs
@@ -21,16 +21,16 @@
 use crate::{Deployment, deploy, wait_for_replicas};
 
 /// Time for which a worker asks for no requests.
-const ASKED: Duration = Duration::from_secs(3);
+const BACKOFF_TIME: Duration = Duration::from_secs(3);
 /// The same for a worker that asks again and again, and how often it does.
 const SHORT_BACKOFF: Duration = Duration::from_millis(100);
-const MANY_REFUSALS: usize = 12;
+const MANY_REJECTIONS: usize = 12;
 /// Time in which a request that was under way already may still come to a worker.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// Time for which a plain worker works on a request.
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 /// Time in which a worker that may be sent requests again gets one.
-const COMEBACK_TIME: Duration = Duration::from_secs(5);
+const REUSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Part of the requests that the other plain worker serves meanwhile. It has room for all; the
 /// rest is for those that were turned away when the budget of repeats was used up.
 const SERVED: f64 = 0.95;
@@ -66,7 +66,7 @@
     deployment.engines.push(spare);
     let other = Worker::start(&deployment.fleet, "p1", "bookings", false);
     let plain = [Arc::clone(&deployment.plain), other];
-    plain.iter().for_each(|worker| worker.set_work(WORK));
+    plain.iter().for_each(|worker| worker.set_service_time(SERVICE_TIME));
     // At the gateway that is asked, so that it knows of answers: else the first copy goes alone.
     for kind in [Kind::Plain, Kind::Replica] {
         deployment.system.call_gateway_until_served(GATEWAY, kind.path(), "warm").await;
@@ -93,7 +93,7 @@
 }
 
 /// One caller, which asks again as soon as it is answered.
-async fn ask_again_and_again(system: &System, kind: Kind, caller: usize, tally: &Tally) {
+async fn call_repeatedly(system: &System, kind: Kind, caller: usize, tally: &Tally) {
     let mut number = 0;
     while !tally.stop.load(Ordering::Relaxed) {
         number += 1;
@@ -105,7 +105,7 @@
             }
             503 => {
                 tally.refused.lock().expect("not poisoned").push(id);
-                tokio::time::sleep(WORK).await;
+                tokio::time::sleep(SERVICE_TIME).await;
             }
             status => panic!("{id} is answered with {status}: {}", system.logs()),
         }
@@ -120,7 +120,7 @@
     tally: &Tally,
     other: impl Future<Output = ()>,
 ) {
-    let callers = (0..count).map(|caller| ask_again_and_again(system, kind, caller, tally));
+    let callers = (0..count).map(|caller| call_repeatedly(system, kind, caller, tally));
     let callers = futures_util::future::join_all(callers);
     let until_stopped = async {
         other.await;
@@ -130,7 +130,7 @@
 }
 
 async fn wait_until(what: &str, system: &System, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + COMEBACK_TIME;
+    let deadline = Instant::now() + REUSE_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < deadline, "{what}: {}", system.logs());
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -139,15 +139,15 @@
 
 /// Requests that came although the worker had asked for none at an earlier one, those that may
 /// have been under way aside.
-fn against_backoff(arrivals: &[Arrival]) -> Vec<&Arrival> {
-    let wanted = |arrival: &Arrival| {
+fn arrivals_during_backoff(arrivals: &[Arrival]) -> Vec<&Arrival> {
+    let is_allowed = |arrival: &Arrival| {
         arrivals.iter().all(|earlier| {
             let Some(backoff) = earlier.backoff else { return true };
             let since = arrival.at.saturating_duration_since(earlier.at);
-            since < UNDER_WAY || since >= backoff
+            since < IN_FLIGHT_TIME || since >= backoff
         })
     };
-    arrivals.iter().filter(|arrival| !wanted(arrival)).collect()
+    arrivals.iter().filter(|arrival| !is_allowed(arrival)).collect()
 }
 
 #[rstest]
@@ -159,23 +159,23 @@
     let system = &deployment.system;
     let worker = Arc::clone(&workers_for(kind, &deployment, &plain)[0]);
     let tally = Tally::default();
-    let turned_away = async {
-        worker.turn_away(Some(ASKED));
+    let rejected = async {
+        worker.set_rejecting(Some(BACKOFF_TIME));
         wait_until("it turns one away", system, || {
             worker.arrivals().iter().any(|arrival| arrival.backoff.is_some())
         })
         .await;
-        tokio::time::sleep(ASKED).await;
+        tokio::time::sleep(BACKOFF_TIME).await;
     };
-    with_callers(system, kind, MANY_CALLERS, &tally, turned_away).await;
+    with_callers(system, kind, MANY_CALLERS, &tally, rejected).await;
     let arrivals = worker.arrivals();
-    let against = against_backoff(&arrivals);
-    assert!(against.is_empty(), "{against:?}: {}", system.logs());
+    let during_backoff = arrivals_during_backoff(&arrivals);
+    assert!(during_backoff.is_empty(), "{during_backoff:?}: {}", system.logs());
     let refused = tally.refused.into_inner().expect("not poisoned");
     for id in &refused {
         assert_eq!(deployment.fleet.runs(id), 0, "{id} ran, but was refused: {}", system.logs());
     }
-    worker.turn_away(None);
+    worker.set_rejecting(None);
     let used_again = wait_until("it is used again", system, || {
         worker.arrivals().last().is_some_and(|last| last.backoff.is_none())
     });
@@ -192,13 +192,13 @@
     let (deployment, plain) = deploy_serving(block).await;
     let system = &deployment.system;
     let worker = Arc::clone(&workers_for(kind, &deployment, &plain)[0]);
-    worker.turn_away(Some(SHORT_BACKOFF));
-    let turned_away = wait_until("it turns many away", system, || {
+    worker.set_rejecting(Some(SHORT_BACKOFF));
+    let rejected = wait_until("it turns many away", system, || {
         worker.arrivals().iter().filter(|arrival| arrival.backoff.is_some()).count()
-            >= MANY_REFUSALS
+            >= MANY_REJECTIONS
     });
-    with_callers(system, kind, MANY_CALLERS, &Tally::default(), turned_away).await;
-    worker.turn_away(None);
+    with_callers(system, kind, MANY_CALLERS, &Tally::default(), rejected).await;
+    worker.set_rejecting(None);
     let used_again = wait_until("it is used again", system, || {
         worker.arrivals().last().is_some_and(|last| last.backoff.is_none())
     });
@@ -211,10 +211,10 @@
 async fn others_served_beside_backoff() {
     let (deployment, plain) = deploy_serving(40).await;
     let system = &deployment.system;
-    plain[0].turn_away(Some(ASKED));
+    plain[0].set_rejecting(Some(BACKOFF_TIME));
     let tally = Tally::default();
-    let while_asked = tokio::time::sleep(ASKED);
-    with_callers(system, Kind::Plain, FEW_CALLERS, &tally, while_asked).await;
+    let during_backoff = tokio::time::sleep(BACKOFF_TIME);
+    with_callers(system, Kind::Plain, FEW_CALLERS, &tally, during_backoff).await;
     let refused = tally.refused.into_inner().expect("not poisoned").len();
     let served = f64::from(tally.served.into_inner());
     let share = served / (served + refused as f64);
@@ -230,24 +230,24 @@
     let system = &deployment.system;
     system.call_until_served("/hold/1", "warm").await;
     let worker = &deployment.plain;
-    worker.turn_away(Some(ASKED));
-    let turned_away = system.call(GATEWAY, "/hold/1", "first", Some(KEY)).await;
-    assert_eq!(turned_away.expect("it is answered").status().as_u16(), 503);
-    let asked = Instant::now();
-    while asked.elapsed() < ASKED - UNDER_WAY {
+    worker.set_rejecting(Some(BACKOFF_TIME));
+    let rejected = system.call(GATEWAY, "/hold/1", "first", Some(KEY)).await;
+    assert_eq!(rejected.expect("it is answered").status().as_u16(), 503);
+    let backoff_start = Instant::now();
+    while backoff_start.elapsed() < BACKOFF_TIME - IN_FLIGHT_TIME {
         let before = Instant::now();
         let answer = system.call(GATEWAY, "/hold/1", "later", Some(KEY)).await;
         let answer = answer.expect("it is answered");
         assert_eq!(answer.status().as_u16(), 503, "{}", system.logs());
-        assert!(before.elapsed() < UNDER_WAY, "it is not held: {}", system.logs());
+        assert!(before.elapsed() < IN_FLIGHT_TIME, "it is not held: {}", system.logs());
         let pause = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
         let pause: f64 = pause.and_then(|value| value.parse().ok()).expect("a time to come back");
-        let left = ASKED.saturating_sub(asked.elapsed()).as_secs_f64();
+        let left = BACKOFF_TIME.saturating_sub(backoff_start.elapsed()).as_secs_f64();
         assert!(pause >= left - 0.1, "{pause} s, but the worker wants none for {left} s");
-        tokio::time::sleep(WORK).await;
+        tokio::time::sleep(SERVICE_TIME).await;
     }
     assert_eq!(worker.arrivals().len(), 2, "the first and the warming one: {}", system.logs());
-    worker.turn_away(None);
+    worker.set_rejecting(None);
     system.call_until_served("/hold/1", "after").await;
 }
 
@@ -264,11 +264,11 @@
     let drain_time = Duration::from_secs(2);
     let left = std::sync::OnceLock::new();
     let other = async {
-        worker.leave_unheard();
+        worker.leave_unreported();
         let before = worker.arrivals().len();
         wait_until("it answers one", system, || worker.arrivals().len() > before).await;
         let _ = left.set(Instant::now());
-        tokio::time::sleep(drain_time + ASKED).await;
+        tokio::time::sleep(drain_time + BACKOFF_TIME).await;
     };
     with_callers(system, kind, MANY_CALLERS, &Tally::default(), other).await;
     let left = *left.get().expect("it left");
--- a/tests/platform/changes.rs
+++ b/tests/platform/changes.rs
@@ -23,9 +23,9 @@
 /// Pause between two changes: well under the wait of controllers of other zones.
 const CHANGE_PAUSE: Duration = Duration::from_millis(100);
 /// Changes within which an earlier one must have come everywhere; a delivery takes about ten.
-const MOST_CHANGES: u64 = 80;
+const MAX_CHANGES: u64 = 80;
 /// Looks, a pause apart, at what must come about before anything is disturbed.
-const MOST_LOOKS: u32 = 600;
+const MAX_POLLS: u32 = 600;
 /// Version of the first configuration.
 pub const FIRST_VERSION: u64 = 3;
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Absence {
     /// It is cut off from the other controllers, and reaches its gateways.
-    CutOff,
+    Isolated,
     /// Its process has ended.
     Killed,
 }
@@ -75,7 +75,7 @@
 
 /// Waits until a gateway routes what a version added, before anything is disturbed.
 async fn wait_for_route(system: &System, gateway: usize, version: u64) {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if knows_route(system, gateway, version).await {
             return;
         }
@@ -86,7 +86,7 @@
 
 /// A controller that does not lead; the gateway of the same index is in its zone.
 async fn find_follower(system: &System) -> usize {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         let mut leads = Vec::new();
         for controller in 0..CONTROLLERS {
             leads.push(system.metrics(controller).await.contains("controller_leads 1"));
@@ -99,9 +99,9 @@
     panic!("no controller leads: {}", system.logs());
 }
 
-fn take_away(system: &mut System, controller: usize, absence: Absence) {
+fn make_absent(system: &mut System, controller: usize, absence: Absence) {
     match absence {
-        Absence::CutOff => {
+        Absence::Isolated => {
             for other in (0..CONTROLLERS).filter(|other| *other != controller) {
                 system.set_link(controller, other, FaultMode::Silence);
                 system.set_link(other, controller, FaultMode::Silence);
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-#[case::cut_off(6, Absence::CutOff)]
+#[case::isolated(6, Absence::Isolated)]
 #[case::killed(7, Absence::Killed)]
 #[tokio::test]
 async fn change_reaches_zone_without_controller(#[case] block: u8, #[case] absence: Absence) {
@@ -124,7 +124,7 @@
         wait_for_route(&system, gateway, version).await;
     }
     let absent = find_follower(&system).await;
-    take_away(&mut system, absent, absence);
+    make_absent(&mut system, absent, absence);
     let first = version + 1;
     // Once the absence is noticed each later change arrives as soon as the first does.
     let mut pending = vec![first, first + 40];
@@ -136,9 +136,9 @@
             pending.remove(0);
         }
         assert!(
-            version < wanted + MOST_CHANGES,
+            version < wanted + MAX_CHANGES,
             "the gateway in the zone of controller {absent} still lacks version \
-             {wanted}, {MOST_CHANGES} changes later: {}",
+             {wanted}, {MAX_CHANGES} changes later: {}",
             system.logs()
         );
     }
--- a/tests/platform/crashing_burst.rs
+++ b/tests/platform/crashing_burst.rs
@@ -15,23 +15,23 @@
 
 use crate::fleet::Fleet;
 use crate::system::{CONTROLLERS, KEY, Layout, Signal, System, configuration};
-use crate::worker::{ENDS_WORKER, Worker};
+use crate::worker::{CRASHING_BODY, Worker};
 
 const GATEWAYS: usize = 3;
 /// Plain workers of the service.
 const WORKERS: usize = 10;
 /// Copies of each burst.
-const COPIES: usize = 40;
+const DUPLICATES: usize = 40;
 /// Bursts, and the pause between two of them.
 const BURSTS: usize = 3;
 const BURST_PAUSE: Duration = Duration::from_secs(5);
 /// Workers that may end under a burst: each gateway sends one copy and repeats it once before it
 /// has heard of the others.
-const MOST_ENDED_AT_ONCE: usize = 2 * GATEWAYS;
+const MAX_CRASHES_AT_ONCE: usize = 2 * GATEWAYS;
 /// Time after the third end from which hardly anything is sent any more.
-const NEWS_TIME: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Copies that may be sent after that, at all gateways together.
-const MOST_LATE: usize = 3;
+const MAX_LATE: usize = 3;
 /// Other callers, and the pause between two requests of one.
 const OTHERS: usize = 4;
 const OTHER_PAUSE: Duration = Duration::from_millis(100);
@@ -43,7 +43,7 @@
 enum Interlude {
     Nothing,
     /// All controllers end at once and start again.
-    NewControllers,
+    RestartControllers,
 }
 
 async fn deploy(block: u8) -> (System, Arc<Fleet>) {
@@ -66,14 +66,14 @@
 
 /// Sends copies of the request to all gateways at once; 502 and 503 are true answers.
 async fn send_burst(system: &System, burst: usize) {
-    let copies = (0..COPIES).map(|copy| async move {
-        let id = format!("copy-{burst}-{copy}");
-        let gateway = copy % GATEWAYS;
-        let answer = system.call_with_body(gateway, "/hold/1", &id, Some(KEY), ENDS_WORKER).await;
+    let duplicates = (0..DUPLICATES).map(|duplicate| async move {
+        let id = format!("copy-{burst}-{duplicate}");
+        let gateway = duplicate % GATEWAYS;
+        let answer = system.call_with_body(gateway, "/hold/1", &id, Some(KEY), CRASHING_BODY).await;
         let status = answer.map_or(0, |answer| answer.status().as_u16());
         assert!(matches!(status, 502 | 503), "{id} got {status}: {}", system.logs());
     });
-    futures_util::future::join_all(copies).await;
+    futures_util::future::join_all(duplicates).await;
 }
 
 /// What becomes of the requests of other callers.
@@ -81,7 +81,7 @@
 struct OtherTally {
     /// Whether what is sent now counts.
     counts: AtomicBool,
-    ended: AtomicBool,
+    stop: AtomicBool,
     sent: AtomicU32,
     served: AtomicU32,
 }
@@ -97,7 +97,7 @@
 /// One other caller, which asks all gateways in turn.
 async fn call_others(system: &System, caller: usize, tally: &OtherTally) {
     let mut number = caller;
-    while !tally.ended.load(Ordering::Relaxed) {
+    while !tally.stop.load(Ordering::Relaxed) {
         number += 1;
         let counts = u32::from(tally.counts.load(Ordering::Relaxed));
         let id = format!("other-{caller}-{number}");
@@ -111,19 +111,19 @@
 
 /// Runs other callers beside something else until that has ended.
 async fn with_others(system: &System, tally: &OtherTally, other: impl Future<Output = ()>) {
-    tally.ended.store(false, Ordering::Relaxed);
+    tally.stop.store(false, Ordering::Relaxed);
     let others = (0..OTHERS).map(|caller| call_others(system, caller, tally));
     let others = futures_util::future::join_all(others);
     let until_ended = async {
         other.await;
-        tally.ended.store(true, Ordering::Relaxed);
+        tally.stop.store(true, Ordering::Relaxed);
     };
     tokio::join!(others, until_ended);
 }
 
 #[rstest]
 #[case::same_daemons(35, Interlude::Nothing)]
-#[case::new_controllers(36, Interlude::NewControllers)]
+#[case::restarted_controllers(36, Interlude::RestartControllers)]
 #[tokio::test]
 async fn crashing_burst_bounded(#[case] block: u8, #[case] interlude: Interlude) {
     let (mut system, fleet) = deploy(block).await;
@@ -132,14 +132,14 @@
         // Others are under way before the first burst, too.
         tokio::time::sleep(Duration::from_millis(200)).await;
         send_burst(&system, 0).await;
-        tokio::time::sleep(NEWS_TIME).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     };
     with_others(&system, &tally, first).await;
-    let at_once = fleet.ends().len();
-    if interlude == Interlude::NewControllers {
+    let at_once = fleet.crashes().len();
+    if interlude == Interlude::RestartControllers {
         (0..CONTROLLERS).for_each(|daemon| system.signal(daemon, Signal::Kill));
         for daemon in 0..CONTROLLERS {
-            system.revive(daemon, true).await;
+            system.resume_or_restart(daemon, true).await;
         }
         system.wait_ready().await;
     }
@@ -152,13 +152,13 @@
     };
     with_others(&system, &tally, bursts).await;
     let share = tally.share();
-    let third = fleet.ends().get(2).map_or_else(Instant::now, |(_, at)| *at) + NEWS_TIME;
-    let late = fleet.ending_runs().iter().filter(|(_, at)| *at > third).count();
+    let third = fleet.crashes().get(2).map_or_else(Instant::now, |(_, at)| *at) + PROPAGATION_TIME;
+    let late = fleet.crashing_runs().iter().filter(|(_, at)| *at > third).count();
     println!(
         "{at_once} workers ended at once, {} in all, {late} copies late, {share} of others served",
-        fleet.ends().len()
+        fleet.crashes().len()
     );
-    assert!(at_once <= MOST_ENDED_AT_ONCE, "{at_once} workers ended at once: {}", system.logs());
-    assert!(late <= MOST_LATE, "{late} copies were sent late: {}", system.logs());
+    assert!(at_once <= MAX_CRASHES_AT_ONCE, "{at_once} workers ended at once: {}", system.logs());
+    assert!(late <= MAX_LATE, "{late} copies were sent late: {}", system.logs());
     assert!(share >= SERVED, "{share} of the others were served: {}", system.logs());
 }
--- a/tests/platform/crashing_request.rs
+++ b/tests/platform/crashing_request.rs
@@ -12,7 +12,7 @@
 use rstest::rstest;
 
 use crate::system::{CONTROLLERS, KEY, Signal, System};
-use crate::worker::{ENDS_WORKER, Worker};
+use crate::worker::{CRASHING_BODY, Worker};
 use crate::{Deployment, deploy, wait_for_replicas};
 
 /// Workers beyond those of every deployment: one more replica and its spares.
@@ -20,22 +20,22 @@
 /// Replicas that all workers form.
 const REPLICAS: usize = 4;
 /// Workers that may end under a request before it is known to end them.
-const MOST_ENDED: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// Times that the request comes again once it is known.
-const COMEBACKS: usize = 8;
+const RETRIES: usize = 8;
 /// Time after the third end within which all gateways know of the request.
-const SPREAD_TIME: Duration = Duration::from_millis(1500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(1500);
 /// Pause between two times that the request comes.
-const COMEBACK_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// What happens between the third end and the next time that the request comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interlude {
     Nothing,
     /// All controllers end at once and start again.
-    NewControllers,
+    RestartControllers,
     /// Each gateway in turn ends and starts again.
-    NewGateways,
+    RestartGateways,
 }
 
 /// Starts a deployment with four replicas.
@@ -51,26 +51,26 @@
     deployment
 }
 
-async fn call_ending(system: &System, gateway: usize, id: &str) -> u16 {
-    let answer = system.call_with_body(gateway, "/chat/1", id, Some(KEY), ENDS_WORKER).await;
+async fn call_crashing(system: &System, gateway: usize, id: &str) -> u16 {
+    let answer = system.call_with_body(gateway, "/chat/1", id, Some(KEY), CRASHING_BODY).await;
     answer.map_or(0, |answer| answer.status().as_u16())
 }
 
-async fn play(interlude: Interlude, deployment: &mut Deployment) {
+async fn run_interlude(interlude: Interlude, deployment: &mut Deployment) {
     let system = &mut deployment.system;
     match interlude {
         Interlude::Nothing => {}
-        Interlude::NewControllers => {
+        Interlude::RestartControllers => {
             (0..CONTROLLERS).for_each(|daemon| system.signal(daemon, Signal::Kill));
             for daemon in 0..CONTROLLERS {
-                system.revive(daemon, true).await;
+                system.resume_or_restart(daemon, true).await;
             }
         }
-        Interlude::NewGateways => {
+        Interlude::RestartGateways => {
             for gateway in 0..system.gateways.len() {
                 system.signal(CONTROLLERS + gateway, Signal::Kill);
-                system.revive(CONTROLLERS + gateway, true).await;
-                tokio::time::sleep(SPREAD_TIME).await;
+                system.resume_or_restart(CONTROLLERS + gateway, true).await;
+                tokio::time::sleep(PROPAGATION_TIME).await;
             }
         }
     }
@@ -79,55 +79,55 @@
 
 #[rstest]
 #[case::same_daemons(21, Interlude::Nothing)]
-#[case::new_controllers(22, Interlude::NewControllers)]
-#[case::new_gateways(23, Interlude::NewGateways)]
+#[case::restarted_controllers(22, Interlude::RestartControllers)]
+#[case::restarted_gateways(23, Interlude::RestartGateways)]
 #[tokio::test]
-async fn crashing_request_held(#[case] block: u8, #[case] interlude: Interlude) {
+async fn crashing_request_quarantined(#[case] block: u8, #[case] interlude: Interlude) {
     let mut deployment = deploy_replicas(block).await;
     let gateways = deployment.system.gateways.len();
     // It comes at one gateway and then at another, until three workers have ended under it.
-    for number in 0..COMEBACKS {
-        if deployment.fleet.ended_under_requests() >= MOST_ENDED {
+    for number in 0..RETRIES {
+        if deployment.fleet.crash_count() >= MAX_CRASHES {
             break;
         }
-        call_ending(&deployment.system, number % gateways, &format!("first-{number}")).await;
-        tokio::time::sleep(COMEBACK_PAUSE).await;
+        call_crashing(&deployment.system, number % gateways, &format!("first-{number}")).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    tokio::time::sleep(SPREAD_TIME).await;
-    let ended = deployment.fleet.ended_under_requests();
-    play(interlude, &mut deployment).await;
-    for number in 0..COMEBACKS {
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    let crashes = deployment.fleet.crash_count();
+    run_interlude(interlude, &mut deployment).await;
+    for number in 0..RETRIES {
         let system = &deployment.system;
         // Replicas are there each time, so that the request could run.
         system.call_until_served("/chat/1", &format!("other-{number}")).await;
         let id = format!("again-{number}");
-        let status = call_ending(system, number % gateways, &id).await;
+        let status = call_crashing(system, number % gateways, &id).await;
         assert_eq!(deployment.fleet.runs(&id), 0, "{id} ran: {}", system.logs());
         assert_eq!(status, 503, "it has not run, and is told so: {}", system.logs());
-        tokio::time::sleep(COMEBACK_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    assert!(ended <= MOST_ENDED, "{ended} workers ended");
-    assert_eq!(deployment.fleet.ended_under_requests(), ended);
+    assert!(crashes <= MAX_CRASHES, "{crashes} workers ended");
+    assert_eq!(deployment.fleet.crash_count(), crashes);
 }
 
 /// Workers that end at once, under requests that are alike, were ended by something else: the same
 /// request is served as soon as there are workers again.
 #[rstest]
 #[tokio::test]
-async fn alike_requests_served_after_common_end() {
+async fn similar_requests_served_after_common_crash() {
     let deployment = deploy_replicas(24).await;
     let system = &deployment.system;
     let calls = futures_util::future::join_all((0..20).map(|number| {
         let id = format!("alike-{number}");
         async move { system.call(number % 2, "/chat/1", &id, Some(KEY)).await }
     }));
-    let end = async {
+    let kill_heads = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         let heads: Vec<_> = deployment.engines.iter().filter(|one| one.is_open_head()).collect();
         assert_eq!(heads.len(), REPLICAS);
         heads.iter().for_each(|head| head.kill());
     };
-    tokio::join!(calls, end);
+    tokio::join!(calls, kill_heads);
     for number in 0..REPLICAS {
         let id = format!("spare-{number}");
         Worker::start(&deployment.fleet, &id, "models", true);
@@ -144,17 +144,17 @@
 async fn crashing_request_released(#[case] block: u8, #[case] controller: usize) {
     let deployment = deploy_replicas(block).await;
     let system = &deployment.system;
-    let mark = "event=request_held content=";
-    for number in 0..COMEBACKS {
-        call_ending(system, 0, &format!("first-{number}")).await;
-        tokio::time::sleep(COMEBACK_PAUSE).await;
+    let prefix = "event=request_held content=";
+    for number in 0..RETRIES {
+        call_crashing(system, 0, &format!("first-{number}")).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
-    tokio::time::sleep(SPREAD_TIME).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     let logs = system.logs();
-    let content = logs.split(mark).nth(1).map(|rest| &rest[..16]);
+    let content = logs.split(prefix).nth(1).map(|rest| &rest[..16]);
     let content = content.unwrap_or_else(|| panic!("it is held: {logs}")).to_owned();
     let server = format!("http://{}", system.controllers[controller]);
-    let ended = deployment.fleet.ended_under_requests();
+    let crashes = deployment.fleet.crash_count();
     let release = tokio::task::spawn_blocking(move || {
         let program = env!("CARGO_BIN_EXE_hollowbarrow");
         let arguments = ["release", &content, "--server", &server];
@@ -162,9 +162,9 @@
     });
     let output = release.await.expect("it ends");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    tokio::time::sleep(SPREAD_TIME).await;
+    tokio::time::sleep(PROPAGATION_TIME).await;
     system.call_until_served("/chat/1", "other").await;
-    call_ending(system, 1, "again").await;
+    call_crashing(system, 1, "again").await;
     assert!(deployment.fleet.runs("again") > 0, "{}", system.logs());
-    assert!(deployment.fleet.ended_under_requests() > ended);
+    assert!(deployment.fleet.crash_count() > crashes);
 }
--- a/tests/platform/disturbance.rs
+++ b/tests/platform/disturbance.rs
@@ -14,7 +14,7 @@
 /// Series that run over each other.
 const SERIES: usize = 3;
 /// Bounds of the length of a disturbance and of the pause after it, in milliseconds.
-const LENGTH_MS: (u64, u64) = (300, 2500);
+const DURATION_MS: (u64, u64) = (300, 2500);
 const PAUSE_MS: (u64, u64) = (100, 1200);
 
 /// What is done to the system.
@@ -31,37 +31,37 @@
     /// All controllers are killed at once.
     KillControllers,
     /// A daemon is cut off from all others.
-    CutOff,
+    IsolateDaemon,
     /// One direction of a link is silent.
     SilenceLink,
     /// A link's connections are closed and refused.
-    CutLink,
+    CloseLink,
     /// A link is slow.
     DelayLink,
     /// A worker ends, and another life comes.
     KillWorker,
     /// A worker is cut off from controllers, while gateways reach it.
-    CutWorker,
+    PartitionWorker,
     /// A worker leaves orders unanswered and carries them out late.
     LateOrders,
     /// A worker says that it leaves, ends, and another life comes.
     DrainWorker,
     /// A worker ends, and starts again under its id after a while.
-    RebirthWorker,
+    RestartWorker,
     /// A worker ends, and starts again under its id at once.
-    RebirthAtOnce,
+    RestartWorkerAtOnce,
     /// Other writers use a worker's id.
     ForeignRecords,
     /// A request that ends the workers it runs on comes several times.
-    EndingRequest,
+    CrashingRequest,
     /// A worker turns requests away and asks for none for a while.
-    TurnAway,
+    RejectRequests,
     /// A worker says in its answers that it leaves, and controllers hear of it only as it ends.
-    LeaveUnheard,
+    LeaveUnreported,
     /// A worker names a limit for a while.
-    NameLimit,
+    SetLimit,
     /// Many copies of a request that ends the workers it runs on come at once.
-    EndingBurst,
+    CrashingBurst,
     /// All daemons are killed at once, and one controller's disk is lost.
     LosePower,
 }
@@ -72,43 +72,43 @@
     DisturbanceKind::Terminate,
     DisturbanceKind::Wipe,
     DisturbanceKind::KillControllers,
-    DisturbanceKind::CutOff,
+    DisturbanceKind::IsolateDaemon,
     DisturbanceKind::SilenceLink,
-    DisturbanceKind::CutLink,
+    DisturbanceKind::CloseLink,
     DisturbanceKind::DelayLink,
     DisturbanceKind::KillWorker,
-    DisturbanceKind::CutWorker,
+    DisturbanceKind::PartitionWorker,
     DisturbanceKind::LateOrders,
     DisturbanceKind::DrainWorker,
 ];
 
 /// Kinds of a series of their own, drawn apart so that a seed keeps its other disturbances.
-const LIFE_KINDS: [DisturbanceKind; 4] = [
-    DisturbanceKind::RebirthWorker,
-    DisturbanceKind::RebirthAtOnce,
+const INSTANCE_KINDS: [DisturbanceKind; 4] = [
+    DisturbanceKind::RestartWorker,
+    DisturbanceKind::RestartWorkerAtOnce,
     DisturbanceKind::ForeignRecords,
-    DisturbanceKind::EndingRequest,
+    DisturbanceKind::CrashingRequest,
 ];
 /// What makes the seed of that series another one.
-const LIFE_SEED: u64 = 0x11fe;
+const INSTANCE_SEED: u64 = 0x11fe;
 /// Kinds of a third sort of series, and its seed.
-const DEMAND_KINDS: [DisturbanceKind; 2] =
-    [DisturbanceKind::TurnAway, DisturbanceKind::LeaveUnheard];
-const DEMAND_SEED: u64 = 0xdead;
+const NOTICE_KINDS: [DisturbanceKind; 2] =
+    [DisturbanceKind::RejectRequests, DisturbanceKind::LeaveUnreported];
+const NOTICE_SEED: u64 = 0xdead;
 
 /// Kinds of a fourth sort of series, and its seed.
-const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::NameLimit];
+const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::SetLimit];
 const LIMIT_SEED: u64 = 0x1131;
 
 /// Kinds of a series of their own, since one of them leaves few workers for a while.
-const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::EndingBurst];
+const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::CrashingBurst];
 const BURST_SEED: u64 = 0xb0057;
 
 /// What makes the seed of a loss of power another one, and when that comes.
-const POWER_SEED: u64 = 0x90e5;
-const POWER_MS: (u64, u64) = (2_000, 7_000);
+const POWER_LOSS_SEED: u64 = 0x90e5;
+const POWER_LOSS_AT_MS: (u64, u64) = (2_000, 7_000);
 /// Bounds of the time for which power is away.
-const DARK_MS: (u64, u64) = (200, 1_500);
+const OUTAGE_MS: (u64, u64) = (200, 1_500);
 
 /// One disturbance.
 #[derive(Clone, Copy, Debug)]
@@ -116,7 +116,7 @@
     /// When it begins.
     pub at: Duration,
     /// For how long it lasts.
-    pub length: Duration,
+    pub duration: Duration,
     /// What is done.
     pub kind: DisturbanceKind,
     /// Numbers by which daemons or workers are chosen.
@@ -132,10 +132,10 @@
     for _ in 0..SERIES {
         draw_series(&mut rng, &KINDS, &mut drawn);
     }
-    draw_series(&mut ChaCha8Rng::seed_from_u64(seed ^ LIFE_SEED), &LIFE_KINDS, &mut drawn);
+    draw_series(&mut ChaCha8Rng::seed_from_u64(seed ^ INSTANCE_SEED), &INSTANCE_KINDS, &mut drawn);
     for series in 0..SERIES as u64 {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (DEMAND_SEED + series));
-        draw_series(&mut rng, &DEMAND_KINDS, &mut drawn);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (NOTICE_SEED + series));
+        draw_series(&mut rng, &NOTICE_KINDS, &mut drawn);
     }
     for series in 0..SERIES as u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (LIMIT_SEED + series));
@@ -149,10 +149,10 @@
 }
 
 fn draw_power_loss(seed: u64) -> Disturbance {
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ POWER_SEED);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ POWER_LOSS_SEED);
     Disturbance {
-        at: draw_ms(&mut rng, POWER_MS),
-        length: draw_ms(&mut rng, DARK_MS),
+        at: draw_ms(&mut rng, POWER_LOSS_AT_MS),
+        duration: draw_ms(&mut rng, OUTAGE_MS),
         kind: DisturbanceKind::LosePower,
         first: rng.random_range(0..1000),
         second: rng.random_range(0..1000),
@@ -162,15 +162,15 @@
 fn draw_series(rng: &mut ChaCha8Rng, kinds: &[DisturbanceKind], drawn: &mut Vec<Disturbance>) {
     let mut at = draw_ms(rng, PAUSE_MS);
     while at < DISTURBED_TIME {
-        let length = draw_ms(rng, LENGTH_MS);
+        let duration = draw_ms(rng, DURATION_MS);
         drawn.push(Disturbance {
             at,
-            length,
+            duration,
             kind: kinds[rng.random_range(0..kinds.len())],
             first: rng.random_range(0..1000),
             second: rng.random_range(0..1000),
         });
-        at += length + draw_ms(rng, PAUSE_MS);
+        at += duration + draw_ms(rng, PAUSE_MS);
     }
 }
 
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use crate::demands::{DemandEvent, find_breaches};
 use crate::limit_check::find_limit_breaches;
+use crate::notices::{NoticeEvent, find_notice_breaches};
 
 /// Members of each replica.
 pub const REPLICA_SIZE: usize = 3;
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct Fleet {
     pub controllers: Vec<String>,
-    dead: Mutex<Vec<String>>,
+    stopped: Mutex<Vec<String>>,
     runs: Mutex<BTreeMap<String, u32>>,
     /// Members that were ready, by name, epoch and list.
     ready: Mutex<BTreeMap<ReplicaKey, BTreeSet<String>>>,
@@ -44,10 +44,10 @@
     /// What the workers saw that must not be.
     breaches: Mutex<Vec<String>>,
     /// When requests that end workers began to run, by path, and when workers ended under them.
-    ending_runs: Mutex<Vec<(String, Instant)>>,
-    ends: Mutex<Vec<(String, Instant)>>,
+    crashing_runs: Mutex<Vec<(String, Instant)>>,
+    crashes: Mutex<Vec<(String, Instant)>>,
     /// What came to workers, and what they said, where the request tells its gateway.
-    demands: Mutex<Vec<DemandEvent>>,
+    notice_events: Mutex<Vec<NoticeEvent>>,
     /// Requests that ran in replicas, and under which epoch.
     replica_runs: Mutex<Vec<(String, u64)>>,
 }
@@ -63,18 +63,18 @@
     }
 
     /// How many workers a request has ended.
-    pub fn ended_under_requests(&self) -> u32 {
-        self.ends.lock().expect("not poisoned").len() as u32
+    pub fn crash_count(&self) -> u32 {
+        self.crashes.lock().expect("not poisoned").len() as u32
     }
 
     /// When requests that end workers began to run, by path.
-    pub fn ending_runs(&self) -> Vec<(String, Instant)> {
-        self.ending_runs.lock().expect("not poisoned").clone()
+    pub fn crashing_runs(&self) -> Vec<(String, Instant)> {
+        self.crashing_runs.lock().expect("not poisoned").clone()
     }
 
     /// When workers ended under requests, by path.
-    pub fn ends(&self) -> Vec<(String, Instant)> {
-        self.ends.lock().expect("not poisoned").clone()
+    pub fn crashes(&self) -> Vec<(String, Instant)> {
+        self.crashes.lock().expect("not poisoned").clone()
     }
 
     /// Epochs of the replicas in which a request ran.
@@ -91,45 +91,48 @@
     /// What the workers saw that must not be.
     pub fn breaches(&self) -> Vec<String> {
         let mut breaches = self.breaches.lock().expect("not poisoned").clone();
-        let demands = self.demands();
-        breaches.extend(find_breaches(&demands));
-        breaches.extend(find_limit_breaches(&demands));
+        let notice_events = self.notice_events();
+        breaches.extend(find_notice_breaches(&notice_events));
+        breaches.extend(find_limit_breaches(&notice_events));
         breaches
     }
 
     /// What came to workers and what they said, in order.
-    pub fn demands(&self) -> Vec<DemandEvent> {
-        self.demands.lock().expect("not poisoned").clone()
+    pub fn notice_events(&self) -> Vec<NoticeEvent> {
+        self.notice_events.lock().expect("not poisoned").clone()
     }
 
     /// Notes something that counts for what workers ask for.
-    pub fn note_demand(&self, event: DemandEvent) {
-        self.demands.lock().expect("not poisoned").push(event);
+    pub fn record_notice_event(&self, event: NoticeEvent) {
+        self.notice_events.lock().expect("not poisoned").push(event);
     }
 
     fn report_breach(&self, breach: String) {
         self.breaches.lock().expect("not poisoned").push(breach);
     }
 
-    pub fn note_ready(&self, held: &Membership, id: &str) {
+    pub fn record_ready(&self, membership: &Membership, id: &str) {
         let mut ready = self.ready.lock().expect("not poisoned");
-        ready.entry(held.key()).or_default().insert(id.to_owned());
+        ready.entry(membership.key()).or_default().insert(id.to_owned());
     }
 
     /// A request starts to run at an open head: each member must have been ready with it.
-    pub fn check_whole(&self, held: &Membership, request: &str) {
+    pub fn check_complete(&self, membership: &Membership, request: &str) {
         let ready = self.ready.lock().expect("not poisoned");
-        let ready = ready.get(&held.key()).map_or(0, BTreeSet::len);
-        if held.members.len() != REPLICA_SIZE || ready != REPLICA_SIZE {
-            self.report_breach(format!("{request} runs in {} with {ready} members", held.name));
+        let ready = ready.get(&membership.key()).map_or(0, BTreeSet::len);
+        if membership.members.len() != REPLICA_SIZE || ready != REPLICA_SIZE {
+            self.report_breach(format!(
+                "{request} runs in {} with {ready} members",
+                membership.name
+            ));
         }
     }
 
     /// A worker joins another replica: the head of the one it is in must not be open.
-    pub fn check_left(&self, held: &Membership, id: &str, next: &str) {
-        let open = self.open.lock().expect("not poisoned").contains_key(&held.epoch);
+    pub fn check_closed(&self, membership: &Membership, id: &str, next: &str) {
+        let open = self.open.lock().expect("not poisoned").contains_key(&membership.epoch);
         if open {
-            self.report_breach(format!("{id} joins {next} while {} is open", held.name));
+            self.report_breach(format!("{id} joins {next} while {} is open", membership.name));
         }
     }
 
@@ -141,36 +144,36 @@
         self.open.lock().expect("not poisoned").retain(|_, open| open != head);
     }
 
-    pub fn note_left(&self, epoch: u64, id: &str) {
+    pub fn record_left(&self, epoch: u64, id: &str) {
         self.left.lock().expect("not poisoned").insert((epoch, id.to_owned()));
     }
 
-    pub fn note_joined(&self, epoch: u64, id: &str) {
+    pub fn record_joined(&self, epoch: u64, id: &str) {
         self.left.lock().expect("not poisoned").remove(&(epoch, id.to_owned()));
     }
 
     /// Whether a member takes no part in a replica any more, so that it stands still.
     pub fn is_missing(&self, epoch: u64, id: &str) -> bool {
         let left = self.left.lock().expect("not poisoned").contains(&(epoch, id.to_owned()));
-        left || self.is_dead(id)
+        left || self.is_stopped(id)
     }
 
-    fn is_dead(&self, id: &str) -> bool {
-        self.dead.lock().expect("not poisoned").iter().any(|dead| dead == id)
+    fn is_stopped(&self, id: &str) -> bool {
+        self.stopped.lock().expect("not poisoned").iter().any(|stopped| stopped == id)
     }
 
     /// Notes that a worker has ended.
-    pub fn note_dead(&self, id: &str) {
-        self.dead.lock().expect("not poisoned").push(id.to_owned());
+    pub fn record_stopped(&self, id: &str) {
+        self.stopped.lock().expect("not poisoned").push(id.to_owned());
     }
 
     /// Notes that a worker of this name runs again.
-    pub fn note_alive(&self, id: &str) {
-        self.dead.lock().expect("not poisoned").retain(|dead| dead != id);
+    pub fn record_restarted(&self, id: &str) {
+        self.stopped.lock().expect("not poisoned").retain(|stopped| stopped != id);
     }
 
     /// Notes that a request began to run, and under which epoch in a replica.
-    pub fn note_run(&self, request: &str, epoch: Option<u64>) {
+    pub fn record_run(&self, request: &str, epoch: Option<u64>) {
         *self.runs.lock().expect("not poisoned").entry(request.to_owned()).or_default() += 1;
         if let Some(epoch) = epoch {
             let mut runs = self.replica_runs.lock().expect("not poisoned");
@@ -179,15 +182,15 @@
     }
 
     /// Notes that a request which ends workers began to run.
-    pub fn note_ending_run(&self, path: &str) {
+    pub fn record_crashing_run(&self, path: &str) {
         let run = (path.to_owned(), Instant::now());
-        self.ending_runs.lock().expect("not poisoned").push(run);
+        self.crashing_runs.lock().expect("not poisoned").push(run);
     }
 
     /// Notes that a worker ended under such a request; how many have so far.
-    pub fn note_ended(&self, path: String) -> usize {
-        let mut ends = self.ends.lock().expect("not poisoned");
-        ends.push((path, Instant::now()));
-        ends.len()
+    pub fn record_crash(&self, path: String) -> usize {
+        let mut crashes = self.crashes.lock().expect("not poisoned");
+        crashes.push((path, Instant::now()));
+        crashes.len()
     }
 }
--- a/tests/platform/foreign.rs
+++ b/tests/platform/foreign.rs
@@ -8,22 +8,22 @@
 use hyper::{Method, Request};
 use serde_json::{Value, json};
 
-use crate::worker::FIRST_BORN;
+use crate::worker::FIRST_START_MS;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Calls under a worker's id that it would not make.
 pub fn foreign_records() -> Vec<Value> {
-    let sound = json!({"service": "bookings", "address": "127.0.0.1:1", "zone": "a",
+    let valid = json!({"service": "bookings", "address": "127.0.0.1:1", "zone": "a",
         "version": "v1", "slots": 8, "state": "ready", "cold_left_ms": 0,
-        "seq": u64::MAX, "born": FIRST_BORN});
+        "seq": u64::MAX, "born": FIRST_START_MS});
     let with = |field: &str, value: Value| {
-        let mut record = sound.clone();
+        let mut record = valid.clone();
         record[field] = value;
         record
     };
     let without = |field: &str| {
-        let mut record = sound.clone();
+        let mut record = valid.clone();
         record.as_object_mut().expect("an object").remove(field);
         record
     };
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -9,10 +9,10 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::demands::DemandEvent;
 use crate::limit_check::find_limit_breaches;
+use crate::notices::NoticeEvent;
 use crate::system::{CONTROLLERS, KEY, Layout, Signal, call_gateway};
-use crate::worker::{Worker, request_by};
+use crate::worker::{Worker, request_id_via};
 use crate::{Deployment, deploy_with};
 
 /// Gateways of each system; callers reach all of them alike.
@@ -22,7 +22,7 @@
 /// Pause between two requests of all callers together.
 const REQUEST_PAUSE: Duration = Duration::from_millis(10);
 /// Time for which a plain worker works on a request.
-const WORK: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 /// Time for which requests come: one in which limits need not be kept yet, and a whole window.
 const LOAD_TIME: Duration = Duration::from_secs(9);
 
@@ -35,7 +35,7 @@
         let id = format!("p{number}");
         plain.push(Worker::start(&deployment.fleet, &id, "bookings", false));
     }
-    plain.iter().for_each(|worker| worker.set_work(WORK));
+    plain.iter().for_each(|worker| worker.set_service_time(SERVICE_TIME));
     for gateway in 0..GATEWAYS {
         deployment.system.call_gateway_until_served(gateway, "/hold/1", "warm").await;
     }
@@ -53,7 +53,7 @@
         pace.tick().await;
         let gateway = number % GATEWAYS;
         let address = deployment.system.gateways[gateway].clone();
-        let id = request_by(gateway, &format!("even-{number}"));
+        let id = request_id_via(gateway, &format!("even-{number}"));
         calls.push(tokio::spawn(async move {
             let answer = call_gateway(&address, path, &id, Some(KEY)).await;
             answer.is_ok_and(|answer| answer.status().as_u16() == 200)
@@ -69,7 +69,7 @@
 }
 
 fn assert_limits_kept(deployment: &Deployment) {
-    let breaches = find_limit_breaches(&deployment.fleet.demands());
+    let breaches = find_limit_breaches(&deployment.fleet.notice_events());
     assert!(breaches.is_empty(), "{breaches:#?}: {}", deployment.system.logs());
 }
 
@@ -78,10 +78,10 @@
 #[case::all(61, &["3", "3", "3", "3", "3", "3", "3", "3", "3", "3"])]
 #[case::nothing_allowed(62, &["0", "0.05"])]
 #[tokio::test]
-async fn limit_kept_over_gateways(#[case] block: u8, #[case] limits: &[&'static str]) {
+async fn limit_kept_across_gateways(#[case] block: u8, #[case] limits: &[&'static str]) {
     let (deployment, plain) = deploy_plain(block).await;
     for (worker, limit) in plain.iter().zip(limits) {
-        worker.name_limit(Some(limit));
+        worker.set_limit(Some(limit));
     }
     let served = send_evenly(&deployment, "/hold/1", LOAD_TIME).await;
     assert!(served > 0, "{}", deployment.system.logs());
@@ -95,7 +95,7 @@
     let (deployment, plain) = deploy_plain(63).await;
     let fall = async {
         for limit in ["20", "4", "1"] {
-            plain.iter().take(3).for_each(|worker| worker.name_limit(Some(limit)));
+            plain.iter().take(3).for_each(|worker| worker.set_limit(Some(limit)));
             tokio::time::sleep(LOAD_TIME / 3).await;
         }
     };
@@ -106,28 +106,28 @@
 /// Workers that name no limit any more are used as before.
 #[rstest]
 #[tokio::test]
-async fn limit_ends() {
+async fn limit_withdrawn() {
     let (deployment, plain) = deploy_plain(64).await;
-    plain.iter().for_each(|worker| worker.name_limit(Some("1")));
+    plain.iter().for_each(|worker| worker.set_limit(Some("1")));
     send_evenly(&deployment, "/hold/1", LOAD_TIME / 3).await;
-    plain.iter().for_each(|worker| worker.name_limit(None));
+    plain.iter().for_each(|worker| worker.set_limit(None));
     // One answer without the limit tells a gateway, and it tells the others.
     let deadline = Instant::now() + LOAD_TIME * 3;
     loop {
-        let from = deployment.fleet.demands().len();
+        let from = deployment.fleet.notice_events().len();
         send_evenly(&deployment, "/hold/1", Duration::from_secs(1)).await;
-        let came = deployment.fleet.demands().len() - from;
-        if came >= 90 {
+        let arrived = deployment.fleet.notice_events().len() - from;
+        if arrived >= 90 {
             break;
         }
-        assert!(Instant::now() < deadline, "{came}: {}", deployment.system.logs());
+        assert!(Instant::now() < deadline, "{arrived}: {}", deployment.system.logs());
     }
     assert_limits_kept(&deployment);
 }
 
 /// What disturbs a system while workers name limits.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     /// All controllers end, and nobody tells gateways of each other.
     LostControllers,
     /// One gateway ends and another one stands still for a while.
@@ -135,28 +135,28 @@
 }
 
 #[rstest]
-#[case::controllers(65, Trouble::LostControllers)]
-#[case::gateways(66, Trouble::LostGateways)]
+#[case::controllers(65, Fault::LostControllers)]
+#[case::gateways(66, Fault::LostGateways)]
 #[tokio::test]
-async fn limit_kept_under_trouble(#[case] block: u8, #[case] trouble: Trouble) {
+async fn limit_kept_under_faults(#[case] block: u8, #[case] fault: Fault) {
     let (deployment, plain) = deploy_plain(block).await;
     for (worker, limit) in plain.iter().zip(["2", "0.7", "5"]) {
-        worker.name_limit(Some(limit));
+        worker.set_limit(Some(limit));
     }
     let disturb = async {
         tokio::time::sleep(LOAD_TIME / 3).await;
         let system = &deployment.system;
-        match trouble {
-            Trouble::LostControllers => {
+        match fault {
+            Fault::LostControllers => {
                 (0..CONTROLLERS).for_each(|daemon| system.signal(daemon, Signal::Kill));
             }
-            Trouble::LostGateways => {
+            Fault::LostGateways => {
                 system.signal(CONTROLLERS, Signal::Kill);
                 system.signal(CONTROLLERS + 1, Signal::Stop);
-                note_disturbed(&deployment, 1);
+                record_disturbed(&deployment, 1);
                 tokio::time::sleep(LOAD_TIME / 6).await;
                 system.signal(CONTROLLERS + 1, Signal::Continue);
-                note_disturbed(&deployment, 1);
+                record_disturbed(&deployment, 1);
             }
         }
     };
@@ -164,8 +164,8 @@
     assert_limits_kept(&deployment);
 }
 
-fn note_disturbed(deployment: &Deployment, gateway: usize) {
-    deployment.fleet.note_demand(DemandEvent::Disturbed { gateway, at: Instant::now() });
+fn record_disturbed(deployment: &Deployment, gateway: usize) {
+    deployment.fleet.record_notice_event(NoticeEvent::Disturbed { gateway, at: Instant::now() });
 }
 
 /// Heads of replicas, of which some name limits; streams are sent to them.
@@ -179,7 +179,7 @@
     crate::wait_for_replicas(&deployment, 3).await;
     let heads = deployment.engines.iter().filter(|engine| engine.is_open_head());
     for (head, limit) in heads.zip(["1.8", "3"]) {
-        head.name_limit(Some(limit));
+        head.set_limit(Some(limit));
     }
     let served = send_evenly(&deployment, "/chat/1", LOAD_TIME).await;
     assert!(served > 0, "{}", deployment.system.logs());
--- a/tests/platform/limit_check.rs
+++ b/tests/platform/limit_check.rs
@@ -8,58 +8,58 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::demands::{DemandEvent, WorkerWord};
+use crate::notices::{NoticeEvent, WorkerNotice};
 
 /// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Multiple of what a limit allows that may come in a window, and requests beyond that.
 const ALLOWED_FACTOR: f64 = 1.5;
-const ALLOWED_MORE: f64 = 5.0;
+const ALLOWED_EXTRA: f64 = 5.0;
 /// Time after a worker has told a gateway from which on that gateway's requests count.
-const TELLING_TIME: Duration = Duration::from_millis(500);
+const NOTICE_DELAY: Duration = Duration::from_millis(500);
 /// Time after a worker has first named a limit from which on it has to be kept, and time for which a
 /// disturbance excuses a gateway.
-const CONTACT_TIME: Duration = Duration::from_secs(3);
+const GRACE_TIME: Duration = Duration::from_secs(3);
 
 /// What one worker named, from when on.
-type NamedLimits = Vec<(Instant, Option<f64>)>;
+type LimitHistory = Vec<(Instant, Option<f64>)>;
 
 /// Workers that got more than they allow, and by how much.
-pub fn find_limit_breaches(events: &[DemandEvent]) -> Vec<String> {
-    let workers: BTreeSet<&str> = events.iter().filter_map(named_worker).collect();
+pub fn find_limit_breaches(events: &[NoticeEvent]) -> Vec<String> {
+    let workers: BTreeSet<&str> = events.iter().filter_map(worker_of_limit).collect();
     workers.into_iter().filter_map(|worker| find_breach(events, worker)).collect()
 }
 
-fn named_worker(event: &DemandEvent) -> Option<&str> {
+fn worker_of_limit(event: &NoticeEvent) -> Option<&str> {
     match event {
-        DemandEvent::Named { worker, .. } => Some(worker),
-        DemandEvent::Came { .. } | DemandEvent::Disturbed { .. } => None,
+        NoticeEvent::LimitSet { worker, .. } => Some(worker),
+        NoticeEvent::Arrived { .. } | NoticeEvent::Disturbed { .. } => None,
     }
 }
 
 /// The window of a worker in which most came beyond what was allowed.
-fn find_breach(events: &[DemandEvent], name: &str) -> Option<String> {
-    let named = events.iter().filter_map(|event| match event {
-        DemandEvent::Named { worker, limit, at } if worker == name => Some((*at, *limit)),
+fn find_breach(events: &[NoticeEvent], name: &str) -> Option<String> {
+    let limits = events.iter().filter_map(|event| match event {
+        NoticeEvent::LimitSet { worker, limit, at } if worker == name => Some((*at, *limit)),
         _ => None,
     });
-    let named: NamedLimits = named.collect();
-    let first = named.iter().find(|(_, limit)| limit.is_some()).map(|(at, _)| *at)?;
+    let limits: LimitHistory = limits.collect();
+    let first = limits.iter().find(|(_, limit)| limit.is_some()).map(|(at, _)| *at)?;
     let counted = counted_arrivals(events, name);
     let mut worst: Option<(f64, String)> = None;
     for (index, end) in counted.iter().enumerate() {
-        if *end < first + CONTACT_TIME {
+        if *end < first + GRACE_TIME {
             continue;
         }
         let inside = |at: &&Instant| end.saturating_duration_since(**at) < WINDOW;
-        let came = counted[..=index].iter().rev().take_while(inside).count() as f64;
-        let Some(granted) = granted_until(&named, *end) else { continue };
-        let allowed = granted * ALLOWED_FACTOR + ALLOWED_MORE;
-        let times = came / allowed;
-        if came > allowed.round() && worst.as_ref().is_none_or(|(most, _)| times > *most) {
+        let arrived = counted[..=index].iter().rev().take_while(inside).count() as f64;
+        let Some(granted) = granted_until(&limits, *end) else { continue };
+        let allowed = granted * ALLOWED_FACTOR + ALLOWED_EXTRA;
+        let times = arrived / allowed;
+        if arrived > allowed.round() && worst.as_ref().is_none_or(|(most, _)| times > *most) {
             let since = end.saturating_duration_since(first).as_secs_f64();
             let text = format!(
-                "{name} got {came} requests in 4 s, {since:.1} s after it named a limit; \
+                "{name} got {arrived} requests in 4 s, {since:.1} s after it named a limit; \
                  {allowed:.1} allowed"
             );
             worst = Some((times, text));
@@ -69,43 +69,45 @@
 }
 
 /// When requests came by gateways that the worker had told, in order.
-fn counted_arrivals(events: &[DemandEvent], name: &str) -> Vec<Instant> {
-    let came: Vec<(usize, Instant, WorkerWord)> = events
+fn counted_arrivals(events: &[NoticeEvent], name: &str) -> Vec<Instant> {
+    let arrived: Vec<(usize, Instant, WorkerNotice)> = events
         .iter()
         .filter_map(|event| match event {
-            DemandEvent::Came { worker, gateway, at, word } if worker == name => {
-                Some((*gateway, *at, *word))
+            NoticeEvent::Arrived { worker, gateway, at, notice } if worker == name => {
+                Some((*gateway, *at, *notice))
             }
             _ => None,
         })
         .collect();
-    let is_told = |gateway: usize, at: Instant| {
-        came.iter().any(|(teller, told, word)| {
-            *teller == gateway && word.limit.is_some() && *told + TELLING_TIME <= at
+    let is_notified = |gateway: usize, at: Instant| {
+        arrived.iter().any(|(notified_gateway, notified_at, notice)| {
+            *notified_gateway == gateway
+                && notice.limit.is_some()
+                && *notified_at + NOTICE_DELAY <= at
         })
     };
-    let counts = |(gateway, at, _): &&(usize, Instant, WorkerWord)| {
-        is_told(*gateway, *at) && !is_excused(events, *gateway, *at)
+    let counts = |(gateway, at, _): &&(usize, Instant, WorkerNotice)| {
+        is_notified(*gateway, *at) && !is_excused(events, *gateway, *at)
     };
-    came.iter().filter(counts).map(|(_, at, _)| *at).collect()
+    arrived.iter().filter(counts).map(|(_, at, _)| *at).collect()
 }
 
-fn is_excused(events: &[DemandEvent], who: usize, now: Instant) -> bool {
+fn is_excused(events: &[NoticeEvent], who: usize, now: Instant) -> bool {
     events.iter().any(|event| match event {
-        DemandEvent::Disturbed { gateway, at } => {
-            *gateway == who && *at <= now && now < *at + CONTACT_TIME
+        NoticeEvent::Disturbed { gateway, at } => {
+            *gateway == who && *at <= now && now < *at + GRACE_TIME
         }
-        DemandEvent::Came { .. } | DemandEvent::Named { .. } => false,
+        NoticeEvent::Arrived { .. } | NoticeEvent::LimitSet { .. } => false,
     })
 }
 
 /// Requests that the limits named grant in the window before a moment; none where the worker took
 /// any number for a part of it. Before the first limit that one counts.
-fn granted_until(named: &NamedLimits, end: Instant) -> Option<f64> {
+fn granted_until(limits: &LimitHistory, end: Instant) -> Option<f64> {
     let start = end.checked_sub(WINDOW)?;
     let mut granted = 0.0;
-    let firsts = named.iter().take(1).map(|(_, limit)| (start, *limit));
-    let steps: NamedLimits = firsts.chain(named.iter().copied()).collect();
+    let firsts = limits.iter().take(1).map(|(_, limit)| (start, *limit));
+    let steps: LimitHistory = firsts.chain(limits.iter().copied()).collect();
     for (index, (at, limit)) in steps.iter().enumerate() {
         let until = steps.get(index + 1).map_or(end, |(next, _)| *next).min(end);
         let part = until.saturating_duration_since((*at).max(start));
@@ -116,18 +118,18 @@
     Some(granted)
 }
 
-const TOLD: WorkerWord = WorkerWord { backoff: None, leaving: false, limit: Some(2.0) };
-const UNTOLD: WorkerWord = WorkerWord { backoff: None, leaving: false, limit: None };
+const LIMITED: WorkerNotice = WorkerNotice { backoff: None, leaving: false, limit: Some(2.0) };
+const UNLIMITED: WorkerNotice = WorkerNotice { backoff: None, leaving: false, limit: None };
 
 /// One request a gateway that tells it, at the beginning.
-fn told_gateways(start: Instant, count: usize) -> Vec<DemandEvent> {
-    let told = |gateway| came(start, gateway, TOLD);
-    let named = DemandEvent::Named { worker: "w".to_owned(), limit: Some(2.0), at: start };
-    [named].into_iter().chain((0..count).map(told)).collect()
+fn notified_gateways(start: Instant, count: usize) -> Vec<NoticeEvent> {
+    let notified_at = |gateway| arrived(start, gateway, LIMITED);
+    let limits = NoticeEvent::LimitSet { worker: "w".to_owned(), limit: Some(2.0), at: start };
+    [limits].into_iter().chain((0..count).map(notified_at)).collect()
 }
 
-fn came(at: Instant, gateway: usize, word: WorkerWord) -> DemandEvent {
-    DemandEvent::Came { worker: "w".to_owned(), gateway, at, word }
+fn arrived(at: Instant, gateway: usize, notice: WorkerNotice) -> NoticeEvent {
+    NoticeEvent::Arrived { worker: "w".to_owned(), gateway, at, notice }
 }
 
 /// With a limit of 2 a second, 17 requests may come in 4 s.
@@ -136,9 +138,9 @@
 #[case::one_more(18, 1)]
 fn find_limit_breaches_count(#[case] count: usize, #[case] expected: usize) {
     let start = Instant::now();
-    let mut events = told_gateways(start, 2);
+    let mut events = notified_gateways(start, 2);
     let at = |number: usize| start + Duration::from_millis(5000 + 100 * number as u64);
-    events.extend((0..count).map(|number| came(at(number), number % 2, TOLD)));
+    events.extend((0..count).map(|number| arrived(at(number), number % 2, LIMITED)));
     let breaches = find_limit_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
@@ -156,23 +158,23 @@
 ) {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut events = told_gateways(start, 2);
+    let mut events = notified_gateways(start, 2);
     let disturb =
-        |(gateway, ms): &(usize, u64)| DemandEvent::Disturbed { gateway: *gateway, at: at(*ms) };
+        |(gateway, ms): &(usize, u64)| NoticeEvent::Disturbed { gateway: *gateway, at: at(*ms) };
     events.extend(disturbed.iter().map(disturb));
-    events.extend((0..18).map(|number| came(at(last_ms - 17 + number), 0, TOLD)));
+    events.extend((0..18).map(|number| arrived(at(last_ms - 17 + number), 0, LIMITED)));
     let breaches = find_limit_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
 
 #[rstest]
-#[case::by_told(0, 1)]
-#[case::by_one_not_told(2, 0)]
-fn find_limit_breaches_told(#[case] gateway: usize, #[case] expected: usize) {
+#[case::by_notified(0, 1)]
+#[case::by_one_not_notified(2, 0)]
+fn find_limit_breaches_notified(#[case] gateway: usize, #[case] expected: usize) {
     let start = Instant::now();
-    let mut events = told_gateways(start, 2);
+    let mut events = notified_gateways(start, 2);
     let at = start + Duration::from_secs(5);
-    events.extend((0..18).map(|_| came(at, gateway, UNTOLD)));
+    events.extend((0..18).map(|_| arrived(at, gateway, UNLIMITED)));
     let breaches = find_limit_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
@@ -192,15 +194,15 @@
 ) {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut events = told_gateways(start, 1);
-    let change = |(ms, limit): &(u64, Option<f64>)| DemandEvent::Named {
+    let mut events = notified_gateways(start, 1);
+    let change = |(ms, limit): &(u64, Option<f64>)| NoticeEvent::LimitSet {
         worker: "w".to_owned(),
         limit: *limit,
         at: at(*ms),
     };
     events.extend(changes.iter().map(change));
     // Half of the window is before the change.
-    events.extend((0..count).map(|_| came(at(6000), 0, TOLD)));
+    events.extend((0..count).map(|_| arrived(at(6000), 0, LIMITED)));
     let breaches = find_limit_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -4,15 +4,15 @@
 mod changes;
 mod crashing_burst;
 mod crashing_request;
-mod demands;
 mod disturbance;
 mod fleet;
 mod foreign;
 mod limit;
 mod limit_check;
 mod lost_power;
+mod notices;
 mod observer;
-mod reborn_worker;
+mod restarted_worker;
 mod soak;
 mod stale_gateway;
 mod system;
@@ -48,17 +48,17 @@
     Deployment { system, fleet, engines, plain }
 }
 
-fn whole_stream() -> String {
+fn complete_stream() -> String {
     (1..=EVENTS).map(event).collect()
 }
 
 #[rstest]
 #[tokio::test]
-async fn serve_whole_path() {
+async fn serve_end_to_end() {
     let deployment = deploy(1).await;
     let system = &deployment.system;
     let body = system.call_until_served("/chat/1", "first").await;
-    assert_eq!(String::from_utf8_lossy(&body), whole_stream());
+    assert_eq!(String::from_utf8_lossy(&body), complete_stream());
     let body = system.call_until_served("/hold/1", "hold").await;
     let body = String::from_utf8_lossy(&body);
     assert!(body.starts_with("tenant family request hold-"), "{body}");
@@ -82,7 +82,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn metrics_tell_what_happened() {
+async fn metrics_report_requests_and_orders() {
     let deployment = deploy(5).await;
     let system = &deployment.system;
     system.call_until_served("/chat/1", "counted").await;
@@ -133,7 +133,7 @@
     for answer in answers {
         let answer = answer.unwrap_or_else(|error| panic!("{error}: {}", system.logs()));
         assert_eq!(answer.status().as_u16(), 200);
-        assert_eq!(String::from_utf8_lossy(answer.body()), whole_stream());
+        assert_eq!(String::from_utf8_lossy(answer.body()), complete_stream());
     }
 }
 
@@ -164,20 +164,20 @@
     for answer in answers {
         let answer = answer.unwrap_or_else(|error| panic!("{error}: {}", system.logs()));
         assert_eq!(answer.status().as_u16(), 200);
-        assert_eq!(String::from_utf8_lossy(answer.body()), whole_stream());
+        assert_eq!(String::from_utf8_lossy(answer.body()), complete_stream());
     }
     let logs = system.logs();
     assert!(!logs.contains("event=stream_resumed"), "a stream was broken off: {logs}");
 }
 
 /// Served requests after which a gateway may repeat more than two: each earns 0.15 of a repeat.
-const EARNING_REQUESTS: u32 = 20;
+const RETRY_BUDGET_REQUESTS: u32 = 20;
 
 /// Six requests ran at three workers each although their route allows two: a send counted only once
 /// the head of its answer had come, and these workers ran what they got without a word.
 #[rstest]
 #[tokio::test]
-async fn attempts_bounded_at_mute_workers() {
+async fn attempts_bounded_at_unresponsive_workers() {
     let deployment = deploy(14).await;
     let system = &deployment.system;
     // With a spare there is room for a third replica.
@@ -188,11 +188,11 @@
     system.call_until_served("/chat/1", "warm").await;
     wait_for_replicas(&deployment, 3).await;
     // What is served earns the gateway more repeats than the request could use.
-    for number in 0..EARNING_REQUESTS {
+    for number in 0..RETRY_BUDGET_REQUESTS {
         let id = format!("earning-{number}");
         system.call(0, "/chat/1", &id, Some(KEY)).await.expect("it is answered");
     }
-    deployment.engines.iter().chain([&spare]).for_each(|engine| engine.set_mute());
+    deployment.engines.iter().chain([&spare]).for_each(|engine| engine.set_unresponsive());
     let answer = system.call(0, "/chat/1", "bounded", Some(KEY)).await.expect("it is answered");
     assert_eq!(deployment.fleet.runs("bounded"), 2, "{}", system.logs());
     let status = answer.status().as_u16();
@@ -203,21 +203,21 @@
 /// failed on a day on which workers hang.
 #[rstest]
 #[tokio::test]
-async fn call_served_beside_mute_worker() {
+async fn call_served_beside_unresponsive_worker() {
     let deployment = deploy(15).await;
     let system = &deployment.system;
-    let mute = Worker::start(&deployment.fleet, "p1", "bookings", false);
+    let unresponsive = Worker::start(&deployment.fleet, "p1", "bookings", false);
     let mut repeatable = configuration(4);
     repeatable["routes"][1]["kind"] = "idempotent".into();
     repeatable["routes"][1]["max_attempts"] = 2.into();
     assert_eq!(system.replace(&repeatable).await, 200);
     system.call_until_served("/hold/1", "warm").await;
     // At the gateway that is called below: each of the calls there may need a repeat.
-    for number in 0..2 * EARNING_REQUESTS {
+    for number in 0..2 * RETRY_BUDGET_REQUESTS {
         let id = format!("earning-{number}");
         system.call(0, "/hold/1", &id, Some(KEY)).await.expect("it is answered");
     }
-    mute.set_mute();
+    unresponsive.set_unresponsive();
     for number in 0..6 {
         let id = format!("hold-{number}");
         let answer = system.call(0, "/hold/1", &id, Some(KEY)).await.expect("it is answered");
@@ -257,7 +257,7 @@
 /// Waits until a controller that came back is a voter again.
 async fn wait_for_voter(system: &System, index: usize) {
     for _ in 0..600 {
-        if system.votes(index) {
+        if system.is_voter(index) {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/tests/platform/demands.rs
+++ b/tests/platform/notices.rs
@@ -9,15 +9,15 @@
 use tokio::time::Instant;
 
 /// Time after a worker's word in which a request that was under way may still come.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 /// Requests that may come later than that within the time for which none are wanted.
-const MOST_AGAINST_BACKOFF: usize = 2;
+const MAX_DURING_BACKOFF: usize = 2;
 /// Time after which a worker that has said that it leaves gets nothing from whoever was told.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// What a worker said in its answer to a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct WorkerWord {
+pub struct WorkerNotice {
     /// For how long it wants no requests from the gateway that sent this one.
     pub backoff: Option<Duration>,
     /// Whether it is about to end.
@@ -28,11 +28,11 @@
 
 /// Something that counts for what workers ask for.
 #[derive(Clone, Debug)]
-pub enum DemandEvent {
+pub enum NoticeEvent {
     /// A request came to a worker.
-    Came { worker: String, gateway: usize, at: Instant, word: WorkerWord },
+    Arrived { worker: String, gateway: usize, at: Instant, notice: WorkerNotice },
     /// A worker names another limit from now on, or none.
-    Named { worker: String, limit: Option<f64>, at: Instant },
+    LimitSet { worker: String, limit: Option<f64>, at: Instant },
     /// A gateway was killed, frozen or started, or its links were cut; what it was told before is
     /// excused.
     Disturbed { gateway: usize, at: Instant },
@@ -43,7 +43,7 @@
     worker: &'a str,
     gateway: usize,
     at: Instant,
-    word: WorkerWord,
+    notice: WorkerNotice,
 }
 
 impl Arrival<'_> {
@@ -52,44 +52,46 @@
     }
 }
 
-fn arrivals(events: &[DemandEvent]) -> Vec<Arrival<'_>> {
-    let came = events.iter().filter_map(|event| match event {
-        DemandEvent::Came { worker, gateway, at, word } => {
-            Some(Arrival { worker, gateway: *gateway, at: *at, word: *word })
+fn arrivals(events: &[NoticeEvent]) -> Vec<Arrival<'_>> {
+    let arrived = events.iter().filter_map(|event| match event {
+        NoticeEvent::Arrived { worker, gateway, at, notice } => {
+            Some(Arrival { worker, gateway: *gateway, at: *at, notice: *notice })
         }
-        DemandEvent::Disturbed { .. } | DemandEvent::Named { .. } => None,
+        NoticeEvent::Disturbed { .. } | NoticeEvent::LimitSet { .. } => None,
     });
-    came.collect()
+    arrived.collect()
 }
 
-fn is_disturbed(events: &[DemandEvent], who: usize, from: Instant, to: Instant) -> bool {
+fn is_disturbed(events: &[NoticeEvent], who: usize, from: Instant, to: Instant) -> bool {
     events.iter().any(|event| match event {
-        DemandEvent::Disturbed { gateway, at } => *gateway == who && *at >= from && *at <= to,
-        DemandEvent::Came { .. } | DemandEvent::Named { .. } => false,
+        NoticeEvent::Disturbed { gateway, at } => *gateway == who && *at >= from && *at <= to,
+        NoticeEvent::Arrived { .. } | NoticeEvent::LimitSet { .. } => false,
     })
 }
 
 /// What gateways sent although they had been told not to.
-pub fn find_breaches(events: &[DemandEvent]) -> Vec<String> {
+pub fn find_notice_breaches(events: &[NoticeEvent]) -> Vec<String> {
     let arrivals = arrivals(events);
     let mut breaches = Vec::new();
-    for told in &arrivals {
+    for notice_arrival in &arrivals {
         let later = arrivals.iter().filter(|later| {
-            later.is_beside(told) && !is_disturbed(events, told.gateway, told.at, later.at)
+            later.is_beside(notice_arrival)
+                && !is_disturbed(events, notice_arrival.gateway, notice_arrival.at, later.at)
         });
         let since: Vec<Duration> =
-            later.map(|later| later.at.saturating_duration_since(told.at)).collect();
-        let (worker, gateway) = (told.worker, told.gateway);
-        if let Some(backoff) = told.word.backoff {
-            let against = since.iter().filter(|one| **one > UNDER_WAY && **one < backoff).count();
-            if against > MOST_AGAINST_BACKOFF {
+            later.map(|later| later.at.saturating_duration_since(notice_arrival.at)).collect();
+        let (worker, gateway) = (notice_arrival.worker, notice_arrival.gateway);
+        if let Some(backoff) = notice_arrival.notice.backoff {
+            let during_backoff =
+                since.iter().filter(|one| **one > IN_FLIGHT_TIME && **one < backoff).count();
+            if during_backoff > MAX_DURING_BACKOFF {
                 breaches.push(format!(
-                    "{worker} asked gateway {gateway} for {backoff:?} and got {against} requests"
+                    "{worker} asked gateway {gateway} for {backoff:?} and got {during_backoff} requests"
                 ));
             }
         }
         // A request that was turned away does not count: nothing of its answer is passed on.
-        let passed_on = told.word.leaving && told.word.backoff.is_none();
+        let passed_on = notice_arrival.notice.leaving && notice_arrival.notice.backoff.is_none();
         let late = since.iter().filter(|one| **one > DRAIN_TIME).count();
         if passed_on && late > 0 {
             breaches.push(format!("{worker} told gateway {gateway} that it leaves and got {late}"));
@@ -100,12 +102,14 @@
 
 /// A record: what came to which worker by which gateway, with the worker's word, or (none) that the
 /// gateway was disturbed.
-type Record<'a> = &'a [(u64, usize, Option<WorkerWord>)];
+type Record<'a> = &'a [(u64, usize, Option<WorkerNotice>)];
 
-const NOTHING: Option<WorkerWord> = Some(WorkerWord { backoff: None, leaving: false, limit: None });
-const ASKS: Option<WorkerWord> =
-    Some(WorkerWord { backoff: Some(Duration::from_secs(3)), leaving: false, limit: None });
-const LEAVES: Option<WorkerWord> = Some(WorkerWord { backoff: None, leaving: true, limit: None });
+const NOTHING: Option<WorkerNotice> =
+    Some(WorkerNotice { backoff: None, leaving: false, limit: None });
+const ASKS: Option<WorkerNotice> =
+    Some(WorkerNotice { backoff: Some(Duration::from_secs(3)), leaving: false, limit: None });
+const LEAVES: Option<WorkerNotice> =
+    Some(WorkerNotice { backoff: None, leaving: true, limit: None });
 
 #[rstest]
 #[case::backoff_kept(&[(0, 0, ASKS), (500, 0, NOTHING), (3000, 0, NOTHING), (3001, 0, NOTHING)], 0)]
@@ -120,18 +124,18 @@
     &[(0, 0, ASKS), (400, 1, None), (501, 0, NOTHING), (600, 0, NOTHING), (2999, 0, NOTHING)], 1)]
 #[case::leaving_heeded(&[(0, 0, LEAVES), (2000, 0, LEAVES)], 0)]
 #[case::leaving_not_heeded(&[(0, 0, LEAVES), (2001, 0, LEAVES)], 1)]
-#[case::leaving_told_to_other(&[(0, 0, LEAVES), (2001, 1, LEAVES)], 0)]
+#[case::leaving_sent_to_other(&[(0, 0, LEAVES), (2001, 1, LEAVES)], 0)]
 #[case::leaving_before_restart(&[(0, 0, LEAVES), (1000, 0, None), (2001, 0, LEAVES)], 0)]
-fn find_breaches_record(#[case] record: Record<'_>, #[case] expected: usize) {
+fn find_notice_breaches_record(#[case] record: Record<'_>, #[case] expected: usize) {
     let start = Instant::now();
-    let to_event = |(ms, gateway, word): &(u64, usize, Option<WorkerWord>)| {
+    let to_event = |(ms, gateway, notice): &(u64, usize, Option<WorkerNotice>)| {
         let (gateway, at) = (*gateway, start + Duration::from_millis(*ms));
-        match *word {
-            Some(word) => DemandEvent::Came { worker: "w".to_owned(), gateway, at, word },
-            None => DemandEvent::Disturbed { gateway, at },
+        match *notice {
+            Some(notice) => NoticeEvent::Arrived { worker: "w".to_owned(), gateway, at, notice },
+            None => NoticeEvent::Disturbed { gateway, at },
         }
     };
-    let events: Vec<DemandEvent> = record.iter().map(to_event).collect();
-    let breaches = find_breaches(&events);
+    let events: Vec<NoticeEvent> = record.iter().map(to_event).collect();
+    let breaches = find_notice_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
--- a/tests/platform/observer.rs
+++ b/tests/platform/observer.rs
@@ -14,7 +14,7 @@
 use crate::changes::{added_path, configuration_with};
 use crate::fleet::Fleet;
 use crate::system::{KEY, call_gateway, fetch_at, replace_at};
-use crate::worker::request_by;
+use crate::worker::request_id_via;
 
 /// Pause between two requests of the load.
 const REQUEST_PAUSE: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 /// Pause between two requests for routes that changes have added.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
 /// Time after its acknowledgement in which a change has to be in force, or not to be denied.
-const IN_FORCE_TIME: Duration = Duration::from_millis(2000);
+const IN_FORCE_DEADLINE: Duration = Duration::from_millis(2000);
 /// Pause between two reads of it.
 const READ_PAUSE: Duration = Duration::from_millis(120);
 
@@ -93,12 +93,12 @@
     }
 
     /// Notes a configuration that goes out, or may have.
-    pub fn note_sent(&self, version: u64, content: &Value) {
+    pub fn record_sent(&self, version: u64, content: &Value) {
         lock(&self.sent).insert(version, content.clone());
     }
 
     /// Notes that a version was acknowledged.
-    pub fn note_acknowledged(&self, version: u64) {
+    pub fn record_acknowledged(&self, version: u64) {
         self.acknowledged.fetch_max(version, Ordering::SeqCst);
         lock(&self.acknowledged_at).push((version, Instant::now()));
         self.changes.fetch_add(1, Ordering::SeqCst);
@@ -107,7 +107,7 @@
     /// The newest version that has to be in force; none before the first.
     fn in_force(&self) -> Option<u64> {
         let acknowledged = lock(&self.acknowledged_at);
-        let due = acknowledged.iter().filter(|(_, at)| at.elapsed() > IN_FORCE_TIME);
+        let due = acknowledged.iter().filter(|(_, at)| at.elapsed() > IN_FORCE_DEADLINE);
         due.map(|(version, _)| *version).max()
     }
 
@@ -157,7 +157,7 @@
         let (kind, path) =
             if number.is_multiple_of(3) { ("hold", "/hold/1") } else { ("chat", "/chat/1") };
         let index = number % gateways.len();
-        let id = request_by(index, &format!("{kind}-{number}"));
+        let id = request_id_via(index, &format!("{kind}-{number}"));
         let gateway = gateways[index].clone();
         let (observer, stream) = (Arc::clone(&observer), Arc::clone(&stream));
         calls.push(tokio::spawn(async move {
@@ -178,14 +178,14 @@
         version += rand::rng().random_range(1..4);
         added.push(version);
         let content = configuration_with(version, &added);
-        observer.note_sent(version, &content);
+        observer.record_sent(version, &content);
         let body = Bytes::from(content.to_string());
         let start = rand::rng().random_range(0..controllers.len());
         for offset in 0..controllers.len() {
             let controller = &controllers[(start + offset) % controllers.len()];
             match replace_at(controller, &body).await {
                 200 => {
-                    observer.note_acknowledged(version);
+                    observer.record_acknowledged(version);
                     break;
                 }
                 0 | 307 | 503 => {}
@@ -209,7 +209,7 @@
             continue;
         };
         let gateway = number % gateways.len();
-        let id = request_by(gateway, &format!("probe-{number}"));
+        let id = request_id_via(gateway, &format!("probe-{number}"));
         let path = added_path(version);
         let Ok(answer) = call_gateway(&gateways[gateway], &path, &id, Some(KEY)).await else {
             continue;
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -18,15 +18,15 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::demands::DemandEvent;
 use crate::disturbance::{DISTURBED_TIME, Disturbance, DisturbanceKind, draw_disturbances};
 use crate::fleet::Fleet;
 use crate::foreign::{foreign_records, send_record};
+use crate::notices::NoticeEvent;
 use crate::observer::{Observer, probe_routes, read_changes, send_changes, send_load};
 use crate::system::{
     CONTROLLERS, KEY, Layout, Signal, System, call_gateway_with_body, configuration,
 };
-use crate::worker::{ENDS_WORKER, Worker};
+use crate::worker::{CRASHING_BODY, Worker};
 
 /// Variable with the number of fresh seeds to play.
 const RUNS: &str = "HOLLOWBARROW_SOAK_RUNS";
@@ -35,7 +35,7 @@
 /// Variable with the number of gateways of fresh seeds.
 const GATEWAYS: &str = "HOLLOWBARROW_SOAK_GATEWAYS";
 /// Most gateways that the addresses of one system have room for.
-const MOST_GATEWAYS: u64 = 200;
+const MAX_GATEWAYS: u64 = 200;
 /// First block of addresses of the soak's systems.
 const FIRST_BLOCK: u8 = 100;
 /// Engine workers of each zone.
@@ -45,26 +45,26 @@
 const FIRST_VERSION: u64 = 3;
 /// Changes after the disturbances within which what was acknowledged before is in force; a daemon
 /// that has just been told to go on needs a few to be connected again.
-const MOST_CHANGES: u64 = 80;
+const MAX_CHANGES: u64 = 80;
 /// Pause between two looks at what a gateway holds.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay of a slow link.
 const LINK_DELAY: Duration = Duration::from_millis(250);
 /// Pause between two records of other writers, and two requests that end workers.
 const FOREIGN_PAUSE: Duration = Duration::from_millis(150);
 /// Times that such a request comes.
-const ENDING_REQUESTS: usize = 6;
+const CRASHING_REQUESTS: usize = 6;
 /// Time after the third end within which a request is known.
-const NEWS_TIME: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Copies that may be sent after that, at all gateways together.
-const MOST_LATE: usize = 3;
+const MAX_LATE: usize = 3;
 /// Copies of a burst of one, and requests that come in bursts.
-const BURST_COPIES: usize = 30;
+const BURST_DUPLICATES: usize = 30;
 const BURST_REQUESTS: usize = 3;
 /// Time for which a worker that leaves goes on.
 const DRAIN_TIME: Duration = Duration::from_millis(600);
 /// The same for one of which controllers do not hear: longer than requests may still come to it.
-const UNHEARD_DRAIN_TIME: Duration = Duration::from_millis(3500);
+const UNREPORTED_DRAIN_TIME: Duration = Duration::from_millis(3500);
 /// Time for which a worker that turns requests away asks for none, a little more each time.
 const BACKOFF: Duration = Duration::from_secs(1);
 /// Requests a second that workers name as their limit.
@@ -79,13 +79,13 @@
     fleet: Arc<Fleet>,
     engines: Vec<(Arc<Worker>, &'static str)>,
     plain: Vec<Arc<Worker>>,
-    lives: usize,
+    started_engines: usize,
     /// The controller whose disk was lost, until it votes again.
     wiped: Option<usize>,
     /// Daemons that are down, standing still or ending, each under one disturbance.
     down: Vec<usize>,
     /// When all daemons lost power, and with it what they knew of requests that end workers.
-    dark: Option<Instant>,
+    power_lost_at: Option<Instant>,
 }
 
 impl Soak {
@@ -97,33 +97,33 @@
             fleet,
             engines: Vec::new(),
             plain: Vec::new(),
-            lives: 0,
+            started_engines: 0,
             wiped: None,
             down: Vec::new(),
-            dark: None,
+            power_lost_at: None,
         };
         for zone in ZONES {
             for _ in 0..ENGINES {
-                let worker = soak.new_life(zone);
+                let worker = soak.start_engine(zone);
                 soak.engines.push((worker, zone));
             }
             let id = format!("plain-{zone}");
-            let worker = Worker::start_born(&soak.fleet, &id, "bookings", false, zone);
+            let worker = Worker::start_with_start_time(&soak.fleet, &id, "bookings", false, zone);
             soak.plain.push(worker);
         }
         soak
     }
 
-    fn new_life(&mut self, zone: &'static str) -> Arc<Worker> {
-        self.lives += 1;
-        let id = format!("engine-{zone}-{}", self.lives);
-        Worker::start_born(&self.fleet, &id, "models", true, zone)
+    fn start_engine(&mut self, zone: &'static str) -> Arc<Worker> {
+        self.started_engines += 1;
+        let id = format!("engine-{zone}-{}", self.started_engines);
+        Worker::start_with_start_time(&self.fleet, &id, "models", true, zone)
     }
 
-    fn renew_worker(&mut self, index: usize) {
+    fn replace_worker(&mut self, index: usize) {
         let zone = self.engines[index].1;
         self.engines[index].0.kill();
-        let worker = self.new_life(zone);
+        let worker = self.start_engine(zone);
         self.engines[index] = (worker, zone);
     }
 
@@ -149,7 +149,7 @@
                 }
                 let daemons = 0..self.system.daemon_count();
                 daemons.for_each(|daemon| assert!(self.take_down(daemon, Signal::Kill)));
-                self.dark = Some(Instant::now());
+                self.power_lost_at = Some(Instant::now());
                 self.wiped = Some(controller);
                 true
             }
@@ -157,35 +157,35 @@
                 let free = (0..CONTROLLERS).all(|daemon| !self.down.contains(&daemon));
                 free && (0..CONTROLLERS).all(|daemon| self.take_down(daemon, Signal::Kill))
             }
-            DisturbanceKind::CutOff => self.cut_off(daemon, FaultMode::Silence),
+            DisturbanceKind::IsolateDaemon => self.isolate(daemon, FaultMode::Silence),
             DisturbanceKind::SilenceLink => self.set_link(disturbance, FaultMode::Silence),
-            DisturbanceKind::CutLink => self.set_link(disturbance, FaultMode::Cut),
+            DisturbanceKind::CloseLink => self.set_link(disturbance, FaultMode::Cut),
             DisturbanceKind::DelayLink => self.set_link(disturbance, FaultMode::Delay(LINK_DELAY)),
             DisturbanceKind::KillWorker => {
                 worker.kill();
                 true
             }
-            DisturbanceKind::CutWorker => {
-                worker.set_cut(true);
+            DisturbanceKind::PartitionWorker => {
+                worker.set_partitioned(true);
                 true
             }
             DisturbanceKind::LateOrders => {
-                worker.set_late(true);
+                worker.set_late_orders(true);
                 true
             }
             DisturbanceKind::DrainWorker => {
                 worker.leave();
                 true
             }
-            DisturbanceKind::RebirthWorker => {
+            DisturbanceKind::RestartWorker => {
                 worker.kill();
                 true
             }
-            DisturbanceKind::RebirthAtOnce if worker.is_stopped() => false,
-            DisturbanceKind::RebirthAtOnce => {
+            DisturbanceKind::RestartWorkerAtOnce if worker.is_stopped() => false,
+            DisturbanceKind::RestartWorkerAtOnce => {
                 worker.kill();
                 // Its port may not be free yet.
-                let next = worker.start_next(true);
+                let next = worker.start_next_instance(true);
                 let index = disturbance.first % self.engines.len();
                 self.engines[index].0 = next;
                 true
@@ -194,28 +194,28 @@
                 tokio::spawn(send_foreign(worker.id.clone(), self.system.controllers.clone()));
                 true
             }
-            DisturbanceKind::TurnAway => {
+            DisturbanceKind::RejectRequests => {
                 let more = Duration::from_millis(disturbance.second as u64 * 2);
-                self.worker(disturbance).turn_away(Some(BACKOFF + more));
+                self.worker(disturbance).set_rejecting(Some(BACKOFF + more));
                 true
             }
-            DisturbanceKind::NameLimit => {
+            DisturbanceKind::SetLimit => {
                 let limit = LIMITS[disturbance.second % LIMITS.len()];
-                self.worker(disturbance).name_limit(Some(limit));
+                self.worker(disturbance).set_limit(Some(limit));
                 true
             }
-            DisturbanceKind::LeaveUnheard => {
-                worker.leave_unheard();
+            DisturbanceKind::LeaveUnreported => {
+                worker.leave_unreported();
                 true
             }
-            DisturbanceKind::EndingBurst => {
+            DisturbanceKind::CrashingBurst => {
                 let gateways = self.system.gateways.clone();
-                tokio::spawn(send_ending_burst(disturbance.second, gateways));
+                tokio::spawn(send_crashing_burst(disturbance.second, gateways));
                 true
             }
-            DisturbanceKind::EndingRequest => {
+            DisturbanceKind::CrashingRequest => {
                 let gateways = self.system.gateways.clone();
-                tokio::spawn(send_ending(disturbance.second, gateways));
+                tokio::spawn(send_crashing(disturbance.second, gateways));
                 true
             }
         }
@@ -228,53 +228,53 @@
         let index = disturbance.first % self.engines.len();
         match disturbance.kind {
             DisturbanceKind::Kill | DisturbanceKind::Terminate => {
-                self.bring_back(daemon, true).await;
+                self.restore(daemon, true).await;
             }
-            DisturbanceKind::Freeze => self.bring_back(daemon, false).await,
+            DisturbanceKind::Freeze => self.restore(daemon, false).await,
             DisturbanceKind::Wipe => {
                 self.system.restart_controller(controller, true);
                 self.down.retain(|down| *down != controller);
             }
             DisturbanceKind::KillControllers => {
                 for daemon in 0..CONTROLLERS {
-                    self.bring_back(daemon, true).await;
+                    self.restore(daemon, true).await;
                 }
             }
             DisturbanceKind::LosePower => {
                 self.system.lose_power(&[controller]);
-                (0..self.system.daemon_count()).for_each(|daemon| self.note_disturbed(daemon));
+                (0..self.system.daemon_count()).for_each(|daemon| self.record_disturbed(daemon));
                 self.down.clear();
             }
-            DisturbanceKind::CutOff => {
-                self.cut_off(daemon, FaultMode::Pass);
+            DisturbanceKind::IsolateDaemon => {
+                self.isolate(daemon, FaultMode::Pass);
             }
             DisturbanceKind::SilenceLink
-            | DisturbanceKind::CutLink
+            | DisturbanceKind::CloseLink
             | DisturbanceKind::DelayLink => {
                 self.set_link(disturbance, FaultMode::Pass);
             }
-            DisturbanceKind::KillWorker => self.renew_worker(index),
-            DisturbanceKind::CutWorker => self.engines[index].0.set_cut(false),
-            DisturbanceKind::LateOrders => self.engines[index].0.set_late(false),
+            DisturbanceKind::KillWorker => self.replace_worker(index),
+            DisturbanceKind::PartitionWorker => self.engines[index].0.set_partitioned(false),
+            DisturbanceKind::LateOrders => self.engines[index].0.set_late_orders(false),
             DisturbanceKind::DrainWorker => {
                 tokio::time::sleep(DRAIN_TIME).await;
-                self.renew_worker(index);
+                self.replace_worker(index);
             }
-            DisturbanceKind::RebirthWorker => {
+            DisturbanceKind::RestartWorker => {
                 let worker = &self.engines[index].0;
                 // Another disturbance may have replaced it meanwhile.
                 if worker.is_stopped() {
                     let moved = disturbance.second % 2 == 1;
-                    self.engines[index].0 = worker.start_next(moved);
+                    self.engines[index].0 = worker.start_next_instance(moved);
                 }
             }
-            DisturbanceKind::TurnAway => self.worker(disturbance).turn_away(None),
-            DisturbanceKind::NameLimit => self.worker(disturbance).name_limit(None),
-            DisturbanceKind::LeaveUnheard => self.renew_worker(index),
-            DisturbanceKind::RebirthAtOnce
+            DisturbanceKind::RejectRequests => self.worker(disturbance).set_rejecting(None),
+            DisturbanceKind::SetLimit => self.worker(disturbance).set_limit(None),
+            DisturbanceKind::LeaveUnreported => self.replace_worker(index),
+            DisturbanceKind::RestartWorkerAtOnce
             | DisturbanceKind::ForeignRecords
-            | DisturbanceKind::EndingRequest
-            | DisturbanceKind::EndingBurst => {}
+            | DisturbanceKind::CrashingRequest
+            | DisturbanceKind::CrashingBurst => {}
         }
     }
 
@@ -289,14 +289,14 @@
 
     /// Whether no other disk is lost, or the one that was votes again.
     fn can_lose_disk(&self) -> bool {
-        let recovered = |wiped| !self.down.contains(&wiped) && self.system.votes(wiped);
+        let recovered = |wiped| !self.down.contains(&wiped) && self.system.is_voter(wiped);
         self.wiped.is_none_or(recovered)
     }
 
     /// Notes that a daemon is disturbed, which excuses it if it is a gateway.
-    fn note_disturbed(&self, daemon: usize) {
+    fn record_disturbed(&self, daemon: usize) {
         if let Some(gateway) = daemon.checked_sub(CONTROLLERS) {
-            self.fleet.note_demand(DemandEvent::Disturbed { gateway, at: Instant::now() });
+            self.fleet.record_notice_event(NoticeEvent::Disturbed { gateway, at: Instant::now() });
         }
     }
 
@@ -305,19 +305,19 @@
             return false;
         }
         self.down.push(daemon);
-        self.note_disturbed(daemon);
+        self.record_disturbed(daemon);
         self.system.signal(daemon, signal);
         true
     }
 
-    async fn bring_back(&mut self, daemon: usize, ending: bool) {
-        self.system.revive(daemon, ending).await;
-        self.note_disturbed(daemon);
+    async fn restore(&mut self, daemon: usize, terminating: bool) {
+        self.system.resume_or_restart(daemon, terminating).await;
+        self.record_disturbed(daemon);
         self.down.retain(|down| *down != daemon);
     }
 
-    fn cut_off(&self, daemon: usize, mode: FaultMode) -> bool {
-        self.note_disturbed(daemon);
+    fn isolate(&self, daemon: usize, mode: FaultMode) -> bool {
+        self.record_disturbed(daemon);
         for other in (0..self.system.daemon_count()).filter(|other| *other != daemon) {
             self.system.set_link(daemon, other, mode);
             self.system.set_link(other, daemon, mode);
@@ -331,7 +331,7 @@
         if from == to {
             return false;
         }
-        [from, to].into_iter().for_each(|daemon| self.note_disturbed(daemon));
+        [from, to].into_iter().for_each(|daemon| self.record_disturbed(daemon));
         self.system.set_link(from, to, mode);
         true
     }
@@ -351,7 +351,7 @@
                 let begun = self.begin(&disturbance);
                 println!("seed {seed}: {disturbance:?} begun={begun}");
                 if begun {
-                    running.push((Instant::now() + length_of(&disturbance), disturbance));
+                    running.push((Instant::now() + duration_of(&disturbance), disturbance));
                 }
             } else if let Some(index) = running.iter().position(|(end, _)| *end == next) {
                 let (_, disturbance) = running.swap_remove(index);
@@ -366,15 +366,15 @@
         for gateway in 0..self.system.gateways.len() {
             while self.system.version_at(gateway).await < acknowledged {
                 let changes = observer.changes() - before;
-                if changes > MOST_CHANGES {
-                    let held = self.system.version_at(gateway).await;
+                if changes > MAX_CHANGES {
+                    let version = self.system.version_at(gateway).await;
                     observer.report(format!(
-                        "gateway {gateway} holds version {held} {changes} changes after \
+                        "gateway {gateway} has version {version} {changes} changes after \
                          {acknowledged} was acknowledged"
                     ));
                     break;
                 }
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -394,11 +394,11 @@
 }
 
 /// For how long a disturbance lasts.
-fn length_of(disturbance: &Disturbance) -> Duration {
+fn duration_of(disturbance: &Disturbance) -> Duration {
     match disturbance.kind {
-        DisturbanceKind::LeaveUnheard => disturbance.length + UNHEARD_DRAIN_TIME,
-        DisturbanceKind::NameLimit => disturbance.length + LIMITED_TIME,
-        _ => disturbance.length,
+        DisturbanceKind::LeaveUnreported => disturbance.duration + UNREPORTED_DRAIN_TIME,
+        DisturbanceKind::SetLimit => disturbance.duration + LIMITED_TIME,
+        _ => disturbance.duration,
     }
 }
 
@@ -413,65 +413,69 @@
 }
 
 /// Sends a request that ends the workers it runs on to one gateway after the other.
-async fn send_ending(number: usize, gateways: Vec<String>) {
-    for comeback in 0..ENDING_REQUESTS {
-        let gateway = &gateways[(number + comeback) % gateways.len()];
-        let id = format!("ending-{number}-{comeback}");
+async fn send_crashing(number: usize, gateways: Vec<String>) {
+    for retry in 0..CRASHING_REQUESTS {
+        let gateway = &gateways[(number + retry) % gateways.len()];
+        let id = format!("ending-{number}-{retry}");
         // What comes of it shows in the workers that end.
-        let _ = call_gateway_with_body(gateway, "/chat/1", &id, Some(KEY), ENDS_WORKER).await;
+        let _ = call_gateway_with_body(gateway, "/chat/1", &id, Some(KEY), CRASHING_BODY).await;
         tokio::time::sleep(FOREIGN_PAUSE).await;
     }
 }
 
 /// Sends many copies of a request that ends the workers it runs on, to all gateways at once.
-async fn send_ending_burst(number: usize, gateways: Vec<String>) {
+async fn send_crashing_burst(number: usize, gateways: Vec<String>) {
     let path = format!("/chat/{}", number % BURST_REQUESTS);
-    let copies = (0..BURST_COPIES).map(|copy| {
-        let id = format!("burst-{number}-{copy}");
-        let (gateway, path) = (&gateways[copy % gateways.len()], &path);
-        async move { call_gateway_with_body(gateway, path, &id, Some(KEY), ENDS_WORKER).await }
+    let duplicates = (0..BURST_DUPLICATES).map(|duplicate| {
+        let id = format!("burst-{number}-{duplicate}");
+        let (gateway, path) = (&gateways[duplicate % gateways.len()], &path);
+        async move { call_gateway_with_body(gateway, path, &id, Some(KEY), CRASHING_BODY).await }
     });
     // What comes of them shows in the workers that end.
-    let _ = futures_util::future::join_all(copies).await;
+    let _ = futures_util::future::join_all(duplicates).await;
 }
 
 /// Copies of each request that ends workers, by path, that were sent later than 3 s after the third
 /// worker had ended under it, and how many ended in all.
 ///
 /// Before and after a loss of all power each for itself: nobody is left then who remembers.
-fn late_copies(fleet: &Fleet, dark: Option<Instant>) -> BTreeMap<String, (usize, usize)> {
-    let ends = fleet.ends();
-    let paths: BTreeSet<String> = ends.iter().map(|(path, _)| path.clone()).collect();
-    let since_dark = |at: &Instant| dark.is_some_and(|dark| *at > dark);
+fn late_duplicates(
+    fleet: &Fleet,
+    power_lost_at: Option<Instant>,
+) -> BTreeMap<String, (usize, usize)> {
+    let crashes = fleet.crashes();
+    let paths: BTreeSet<String> = crashes.iter().map(|(path, _)| path.clone()).collect();
+    let is_after_outage =
+        |at: &Instant| power_lost_at.is_some_and(|power_lost_at| *at > power_lost_at);
     let of_path = |path: &str, times: &[(String, Instant)], after: bool| -> Vec<Instant> {
         let times = times.iter().filter(|(other, _)| other == path).map(|(_, at)| *at);
-        times.filter(|at| since_dark(at) == after).collect()
+        times.filter(|at| is_after_outage(at) == after).collect()
     };
     let late = |path: &str, after: bool| {
-        let ended = of_path(path, &ends, after);
-        let known = ended.get(2).map(|third| *third + NEWS_TIME);
-        let runs = of_path(path, &fleet.ending_runs(), after);
+        let crash_times = of_path(path, &crashes, after);
+        let known = crash_times.get(2).map(|third| *third + PROPAGATION_TIME);
+        let runs = of_path(path, &fleet.crashing_runs(), after);
         let late = runs.iter().filter(|at| known.is_some_and(|known| **at > known)).count();
-        (late, ended.len())
+        (late, crash_times.len())
     };
     let most_late = |path: &str| late(path, false).max(late(path, true));
     paths.iter().map(|path| (path.clone(), most_late(path))).collect()
 }
 
 /// Plays one seed; says what must not be.
-async fn play(seed: u64, block: u8, layout: Layout) -> Vec<String> {
+async fn run_seed(seed: u64, block: u8, layout: Layout) -> Vec<String> {
     println!("soak seed {seed}, disturbed for {} s", DISTURBED_TIME.as_secs());
     let mut soak = Soak::start(block, layout);
     let observer = Observer::new();
     let first = configuration(FIRST_VERSION);
-    observer.note_sent(FIRST_VERSION, &first);
+    observer.record_sent(FIRST_VERSION, &first);
     assert_eq!(soak.system.replace(&first).await, 200);
-    observer.note_acknowledged(FIRST_VERSION);
+    observer.record_acknowledged(FIRST_VERSION);
     soak.system.wait_ready().await;
     soak.system.call_until_served("/chat/1", "warm").await;
     let (gateways, controllers) = (soak.system.gateways.clone(), soak.system.controllers.clone());
     let probes = tokio::spawn(probe_routes(Arc::clone(&observer), gateways.clone(), FIRST_VERSION));
-    let load = tokio::spawn(send_load(Arc::clone(&observer), gateways, crate::whole_stream()));
+    let load = tokio::spawn(send_load(Arc::clone(&observer), gateways, crate::complete_stream()));
     let changes =
         tokio::spawn(send_changes(Arc::clone(&observer), controllers.clone(), FIRST_VERSION));
     let reads = tokio::spawn(read_changes(Arc::clone(&observer), controllers));
@@ -483,10 +487,11 @@
     }
     soak.check_recovered(&observer).await;
     println!("seed {seed}: {} served, version {}", observer.served(), observer.acknowledged());
-    let late = late_copies(&soak.fleet, soak.dark);
-    println!("seed {seed}: late copies and ended workers {late:?}");
-    for (path, (late, ended)) in late.into_iter().filter(|(_, (late, _))| *late > MOST_LATE) {
-        observer.report(format!("{late} copies came late to {path}, {ended} workers ended"));
+    let late = late_duplicates(&soak.fleet, soak.power_lost_at);
+    println!("seed {seed}: late duplicates and crashed workers {late:?}");
+    for (path, (late, crashes)) in late.into_iter().filter(|(_, (late, _))| *late > MAX_LATE) {
+        observer
+            .report(format!("{late} duplicates sent late to {path}, {crashes} workers crashed"));
     }
     let breaches = observer.breaches(&soak.fleet);
     if !breaches.is_empty() {
@@ -505,8 +510,8 @@
 // They were held by one gateway that had just started, though the leader had let them go.
 #[case(249_868_691_895, 4)]
 #[tokio::test]
-async fn soak_keeps_promises(#[case] seed: u64, #[case] block: u8) {
-    let breaches = play(seed, FIRST_BLOCK + block, Layout::zoned_behind_proxies()).await;
+async fn soak_keeps_guarantees(#[case] seed: u64, #[case] block: u8) {
+    let breaches = run_seed(seed, FIRST_BLOCK + block, Layout::zoned_behind_proxies()).await;
     assert_eq!(breaches, Vec::<String>::new(), "seed {seed}");
 }
 
@@ -522,12 +527,12 @@
     };
     let mut layout = Layout::zoned_behind_proxies();
     if let Some(gateways) = number(GATEWAYS) {
-        layout.gateways = u8::try_from(gateways.min(MOST_GATEWAYS)).expect("it is bounded");
+        layout.gateways = u8::try_from(gateways.min(MAX_GATEWAYS)).expect("it is bounded");
     }
     let mut failed = Vec::new();
     for (number, seed) in seeds.iter().enumerate() {
         let block = FIRST_BLOCK + 10 + (number % 100) as u8;
-        let breaches = play(*seed, block, layout).await;
+        let breaches = run_seed(*seed, block, layout).await;
         println!("seed {seed}: {} breaches", breaches.len());
         if !breaches.is_empty() {
             failed.push((*seed, breaches));
--- a/tests/platform/stale_gateway.rs
+++ b/tests/platform/stale_gateway.rs
@@ -22,9 +22,9 @@
 use crate::system::{KEY, call_gateway, configuration, free_ports};
 
 /// Pause between two views, and between two looks at what is waited for.
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Looks before something that must happen counts as missing.
-const LOOKS: usize = 200;
+const MAX_POLLS: usize = 200;
 /// Reports to the home in which the reports to others are counted.
 const COUNTED_REPORTS: u64 = 60;
 
@@ -39,11 +39,11 @@
     fn start(settings: &Value) -> Self {
         let settings = read_member_settings("test", &settings.to_string()).expect("sound");
         let reports: Arc<(AtomicU64, AtomicU64)> = Arc::default();
-        let noted = Arc::clone(&reports);
+        let counters = Arc::clone(&reports);
         let links = MemberLinks::start(&settings, move |_, message| {
             if let PeerMessage::Fleet(FleetMessage::Gateway(hello)) = message {
-                noted.0.fetch_add(1, Ordering::SeqCst);
-                noted.1.store(hello.deployment, Ordering::SeqCst);
+                counters.0.fetch_add(1, Ordering::SeqCst);
+                counters.1.store(hello.deployment, Ordering::SeqCst);
             }
         });
         Self { links: links.expect("the address is free"), reports }
@@ -53,7 +53,7 @@
         self.reports.0.load(Ordering::SeqCst)
     }
 
-    fn told_version(&self) -> u64 {
+    fn reported_version(&self) -> u64 {
         self.reports.1.load(Ordering::SeqCst)
     }
 
@@ -65,18 +65,18 @@
 }
 
 /// A gateway's process, before two stand-in controllers.
-struct Scene {
-    home: Arc<StandinController>,
+struct Fixture {
+    primary: Arc<StandinController>,
     other: StandinController,
     gateway: DaemonId,
     callers: String,
     /// Version that the leader's views name; none while no view comes.
-    viewed: Arc<Mutex<Option<u64>>>,
+    view_version: Arc<Mutex<Option<u64>>>,
     process: Child,
     _folder: TempDir,
 }
 
-impl Scene {
+impl Fixture {
     fn start(block: u8) -> Self {
         let folder = tempfile::tempdir().expect("a folder can be made");
         let [mesh, callers, readiness] = free_ports();
@@ -87,7 +87,7 @@
                 "callers": format!("{}:{callers}", ip(number)),
                 "readiness": format!("{}:{readiness}", ip(number))})
         };
-        let home = Arc::new(StandinController::start(&settings(1, "a")));
+        let primary = Arc::new(StandinController::start(&settings(1, "a")));
         let other = StandinController::start(&settings(2, "b"));
         let path = folder.path().join("gateway.json");
         std::fs::write(&path, settings(3, "a").to_string()).expect("settings can be written");
@@ -99,31 +99,36 @@
             .spawn()
             .expect("the binary starts");
         let gateway = DaemonId(format!("{}:{mesh}", ip(3)));
-        let viewed = Arc::default();
-        let places = vec![
-            ControllerPlace { id: home.links.id().clone(), zone: ZoneId::from("a") },
+        let view_version = Arc::default();
+        let controllers = vec![
+            ControllerPlace { id: primary.links.id().clone(), zone: ZoneId::from("a") },
             ControllerPlace { id: other.links.id().clone(), zone: ZoneId::from("b") },
         ];
-        tokio::spawn(send_views(Arc::clone(&home), gateway.clone(), places, Arc::clone(&viewed)));
+        tokio::spawn(send_views(
+            Arc::clone(&primary),
+            gateway.clone(),
+            controllers,
+            Arc::clone(&view_version),
+        ));
         let callers = format!("{}:{callers}", ip(3));
-        Self { home, other, gateway, callers, viewed, process, _folder: folder }
+        Self { primary, other, gateway, callers, view_version, process, _folder: folder }
     }
 
-    fn view(&self, version: u64) {
-        *self.viewed.lock().expect("not poisoned") = Some(version);
+    fn set_view_version(&self, version: u64) {
+        *self.view_version.lock().expect("not poisoned") = Some(version);
     }
 
     /// Has no view come from now on.
-    fn silence_views(&self) {
-        *self.viewed.lock().expect("not poisoned") = None;
+    fn stop_views(&self) {
+        *self.view_version.lock().expect("not poisoned") = None;
     }
 
     /// Has the gateway hold a version.
     async fn deliver(&self, version: u64) {
-        for _ in 0..LOOKS {
-            self.home.send_configuration(&self.gateway, version);
-            tokio::time::sleep(POLL).await;
-            if self.home.told_version() == version {
+        for _ in 0..MAX_POLLS {
+            self.primary.send_configuration(&self.gateway, version);
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if self.primary.reported_version() == version {
                 return;
             }
         }
@@ -137,18 +142,18 @@
 
     async fn wait_status(&self, path: &str, key: &str, wanted: u16) {
         let mut status = 0;
-        for _ in 0..LOOKS {
+        for _ in 0..MAX_POLLS {
             status = self.status(path, key).await;
             if status == wanted {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         panic!("{path} is answered {status}, not {wanted}");
     }
 }
 
-impl Drop for Scene {
+impl Drop for Fixture {
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -156,15 +161,15 @@
 }
 
 async fn send_views(
-    home: Arc<StandinController>,
+    primary: Arc<StandinController>,
     gateway: DaemonId,
     controllers: Vec<ControllerPlace>,
-    viewed: Arc<Mutex<Option<u64>>>,
+    view_version: Arc<Mutex<Option<u64>>>,
 ) {
     for number in 1.. {
-        tokio::time::sleep(POLL).await;
-        let Some(deployment) = *viewed.lock().expect("not poisoned") else { continue };
-        let view = FleetView {
+        tokio::time::sleep(POLL_INTERVAL).await;
+        let Some(deployment) = *view_version.lock().expect("not poisoned") else { continue };
+        let set_view_version = FleetView {
             term: Term(1),
             number,
             deployment,
@@ -176,29 +181,29 @@
             leader: None,
             limits: Vec::new(),
         };
-        home.links.send(&gateway, FleetMessage::View(view));
+        primary.links.send(&gateway, FleetMessage::View(set_view_version));
     }
 }
 
 /// Has the gateway hold version 3, and hear of version 5.
-async fn fall_behind(scene: &Scene) {
-    scene.view(3);
-    scene.deliver(3).await;
-    scene.wait_status("/none/1", KEY, 404).await;
-    scene.wait_status("/chat/1", "other", 401).await;
-    scene.view(5);
+async fn fall_behind(fixture: &Fixture) {
+    fixture.set_view_version(3);
+    fixture.deliver(3).await;
+    fixture.wait_status("/none/1", KEY, 404).await;
+    fixture.wait_status("/chat/1", "other", 401).await;
+    fixture.set_view_version(5);
 }
 
 #[rstest]
 #[tokio::test]
 async fn refusal_behind() {
-    let scene = Scene::start(11);
-    fall_behind(&scene).await;
-    scene.wait_status("/none/1", KEY, 503).await;
-    scene.wait_status("/chat/1", "other", 503).await;
-    scene.home.send_configuration(&scene.gateway, 5);
-    scene.wait_status("/none/1", KEY, 404).await;
-    scene.wait_status("/chat/1", "other", 401).await;
+    let fixture = Fixture::start(11);
+    fall_behind(&fixture).await;
+    fixture.wait_status("/none/1", KEY, 503).await;
+    fixture.wait_status("/chat/1", "other", 503).await;
+    fixture.primary.send_configuration(&fixture.gateway, 5);
+    fixture.wait_status("/none/1", KEY, 404).await;
+    fixture.wait_status("/chat/1", "other", 401).await;
 }
 
 /// Gateways refused an acknowledged route with 404 after all machines had lost power. No leader
@@ -207,30 +212,30 @@
 #[rstest]
 #[tokio::test]
 async fn refusal_without_views() {
-    let scene = Scene::start(13);
-    scene.deliver(3).await;
-    assert_eq!(scene.status("/none/1", KEY).await, 503, "no leader has told what is newest");
-    scene.view(3);
-    scene.wait_status("/none/1", KEY, 404).await;
-    scene.wait_status("/chat/1", "other", 401).await;
-    scene.silence_views();
-    scene.wait_status("/none/1", KEY, 503).await;
-    scene.wait_status("/chat/1", "other", 503).await;
+    let fixture = Fixture::start(13);
+    fixture.deliver(3).await;
+    assert_eq!(fixture.status("/none/1", KEY).await, 503, "no leader has told what is newest");
+    fixture.set_view_version(3);
+    fixture.wait_status("/none/1", KEY, 404).await;
+    fixture.wait_status("/chat/1", "other", 401).await;
+    fixture.stop_views();
+    fixture.wait_status("/none/1", KEY, 503).await;
+    fixture.wait_status("/chat/1", "other", 503).await;
 }
 
 #[rstest]
 #[tokio::test]
 async fn report_behind() {
-    let scene = Scene::start(12);
-    fall_behind(&scene).await;
-    scene.wait_status("/chat/1", KEY, 503).await;
-    let (home, other) = (scene.home.count(), scene.other.count());
-    for _ in 0..LOOKS {
-        if scene.home.count() >= home + COUNTED_REPORTS {
+    let fixture = Fixture::start(12);
+    fall_behind(&fixture).await;
+    fixture.wait_status("/chat/1", KEY, 503).await;
+    let (primary, other) = (fixture.primary.count(), fixture.other.count());
+    for _ in 0..MAX_POLLS {
+        if fixture.primary.count() >= primary + COUNTED_REPORTS {
             break;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let reports = scene.other.count() - other;
+    let reports = fixture.other.count() - other;
     assert!(reports >= COUNTED_REPORTS / 6, "{reports} reports to a controller that can help");
 }
--- a/tests/platform/system.rs
+++ b/tests/platform/system.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Longest wait for anything that must happen.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 pub const HOST: &str = "camp.example";
 pub const KEY: &str = "key-of-family";
@@ -55,8 +55,8 @@
     /// Zone of a daemon, by its number from 1 on.
     fn zone(self, number: u8) -> &'static str {
         let zones = ["a", "b", "c"];
-        let place = if self.zoned { usize::from(number - 1) % CONTROLLERS } else { 0 };
-        zones[place]
+        let index = if self.zoned { usize::from(number - 1) % CONTROLLERS } else { 0 };
+        zones[index]
     }
 }
 
@@ -90,14 +90,14 @@
     settings: PathBuf,
     log: PathBuf,
     /// Length of the log when the process was last started.
-    log_from: usize,
+    log_start: usize,
     child: Option<Child>,
 }
 
 impl Daemon {
     fn start(&mut self) {
         let written = std::fs::metadata(&self.log).map_or(0, |metadata| metadata.len());
-        self.log_from = usize::try_from(written).expect("a log fits into memory");
+        self.log_start = usize::try_from(written).expect("a log fits into memory");
         let log = std::fs::File::options().create(true).append(true).open(&self.log);
         let child = Command::new(env!("CARGO_BIN_EXE_hollowbarrow"))
             .arg(self.role)
@@ -157,7 +157,7 @@
     /// Starts three controllers and gateways.
     pub fn start_with(block: u8, layout: Layout) -> Self {
         let folder = tempfile::tempdir().expect("a folder can be made");
-        let [mesh, control, callers, ready, shown] = free_ports();
+        let [mesh, control, callers, ready, metrics_port] = free_ports();
         let ip = |number: u8| format!("127.77.{block}.{number}");
         let bind_ip = |number: u8| format!("127.78.{block}.{number}");
         let count = CONTROLLERS as u8 + layout.gateways;
@@ -165,7 +165,8 @@
         let controllers: Vec<String> = (1..=3).map(|n| format!("{}:{control}", ip(n))).collect();
         let gateways: Vec<String> = (4..=count).map(|n| format!("{}:{callers}", ip(n))).collect();
         let readiness: Vec<String> = (4..=count).map(|n| format!("{}:{ready}", ip(n))).collect();
-        let metrics: Vec<String> = (1..=count).map(|n| format!("{}:{shown}", ip(n))).collect();
+        let metrics: Vec<String> =
+            (1..=count).map(|n| format!("{}:{metrics_port}", ip(n))).collect();
         let mut daemons = Vec::new();
         for number in 1..=count {
             let controller = usize::from(number) <= CONTROLLERS;
@@ -192,7 +193,7 @@
                 role: if controller { "controller" } else { "gateway" },
                 settings: path,
                 log: folder.path().join(format!("d{number}.log")),
-                log_from: 0,
+                log_start: 0,
                 child: None,
             };
             daemon.start();
@@ -214,10 +215,10 @@
     /// Has a daemon's process go on, or starts it again if it has ended. `ending` says that it was
     /// killed or told to end, which may take a while: one that was looked at too early counted as
     /// running and was never started again.
-    pub async fn revive(&mut self, daemon: usize, ending: bool) {
+    pub async fn resume_or_restart(&mut self, daemon: usize, terminating: bool) {
         self.signal(daemon, Signal::Continue);
-        let deadline = Instant::now() + PATIENCE;
-        while ending && self.daemons[daemon].is_running() {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        while terminating && self.daemons[daemon].is_running() {
             assert!(Instant::now() < deadline, "daemon {daemon} does not end: {}", self.logs());
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -270,10 +271,10 @@
 
     /// Whether a controller says that it votes, with a disk that holds what it should, since it
     /// was last started.
-    pub fn votes(&self, index: usize) -> bool {
+    pub fn is_voter(&self, index: usize) -> bool {
         let daemon = &self.daemons[index];
         let log = std::fs::read_to_string(&daemon.log).unwrap_or_default();
-        let life = log.get(daemon.log_from..).unwrap_or_default();
+        let life = log.get(daemon.log_start..).unwrap_or_default();
         let last = life.lines().rev().find(|line| line.contains("event=quorum"));
         let ip = self.controllers[index].split(':').next().unwrap_or_default();
         last.is_some_and(|line| {
@@ -283,11 +284,11 @@
 
     /// The page of metrics of a daemon.
     pub async fn metrics(&self, daemon: usize) -> String {
-        self.find_metrics(daemon).await.expect("it is shown")
+        self.try_metrics(daemon).await.expect("it is shown")
     }
 
     /// The page of metrics of a daemon, unless it has just been started.
-    async fn find_metrics(&self, daemon: usize) -> Option<String> {
+    async fn try_metrics(&self, daemon: usize) -> Option<String> {
         let address = &self.metrics[daemon];
         let request = Request::builder()
             .uri("/metrics")
@@ -300,16 +301,16 @@
 
     /// Whether a daemon shows a line of metrics, given without the product's name.
     pub async fn has_metric(&self, daemon: usize, line: &str) -> bool {
-        let metrics = self.find_metrics(daemon).await.unwrap_or_default();
+        let metrics = self.try_metrics(daemon).await.unwrap_or_default();
         metrics.lines().any(|shown| shown.strip_prefix("hollowbarrow_") == Some(line))
     }
 
     /// Version of the configuration that a gateway holds; 0 means none, or no gateway yet.
     pub async fn version_at(&self, gateway: usize) -> u64 {
         let name = "hollowbarrow_gateway_configuration_version ";
-        let metrics = self.find_metrics(CONTROLLERS + gateway).await.unwrap_or_default();
-        let held = metrics.lines().find_map(|line| line.strip_prefix(name)?.parse().ok());
-        held.unwrap_or(0)
+        let metrics = self.try_metrics(CONTROLLERS + gateway).await.unwrap_or_default();
+        let version = metrics.lines().find_map(|line| line.strip_prefix(name)?.parse().ok());
+        version.unwrap_or(0)
     }
 
     /// Log of all daemons, for a failure's message.
@@ -320,7 +321,7 @@
 
     /// Puts a configuration in force, at whichever controller takes it; the status of the last.
     pub async fn replace(&self, configuration: &Value) -> u16 {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let body = Bytes::from(configuration.to_string());
         loop {
             for controller in &self.controllers {
@@ -336,7 +337,7 @@
 
     /// The configuration that some controller is sure of.
     pub async fn fetch(&self) -> Value {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             for controller in &self.controllers {
                 if let Some(configuration) = fetch_at(controller).await {
@@ -351,15 +352,15 @@
     /// Waits until every gateway calls itself ready.
     pub async fn wait_ready(&self) {
         for address in &self.readiness {
-            let deadline = Instant::now() + PATIENCE;
-            while self.ready_status(address).await != 200 {
+            let deadline = Instant::now() + WAIT_TIMEOUT;
+            while self.readiness_status(address).await != 200 {
                 assert!(Instant::now() < deadline, "{address} is not ready: {}", self.logs());
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
 
-    async fn ready_status(&self, address: &str) -> u16 {
+    async fn readiness_status(&self, address: &str) -> u16 {
         let request = Request::builder()
             .uri("/-/readyz")
             .header("host", address)
@@ -404,7 +405,7 @@
     }
 
     async fn call_some_until_served(&self, gateways: &[usize], path: &str, name: &str) -> Bytes {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut number = 0;
         loop {
             number += 1;
@@ -441,8 +442,8 @@
         .body(Full::new(Bytes::new()))
         .expect("sound");
     let answer = call_once(controller, request, CALL_TIMEOUT).await.ok()?;
-    let told = answer.status().as_u16() == 200;
-    told.then(|| serde_json::from_slice(answer.body()).expect("it is JSON"))
+    let confirmed = answer.status().as_u16() == 200;
+    confirmed.then(|| serde_json::from_slice(answer.body()).expect("it is JSON"))
 }
 
 /// Sends a request to the gateway at an address.
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -20,8 +20,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::demands::{DemandEvent, WorkerWord};
 use crate::fleet::{Fleet, Membership};
+use crate::notices::{NoticeEvent, WorkerNotice};
 
 /// Events of a whole stream.
 pub const EVENTS: u64 = 30;
@@ -31,17 +31,17 @@
 const LIMITS: HttpLimits = HttpLimits { head_bytes: 16 << 10, idle: Duration::from_secs(15) };
 
 /// Body of a request that ends each worker that begins to run it.
-pub const ENDS_WORKER: &[u8] = b"{\"ends\": \"worker\"}";
+pub const CRASHING_BODY: &[u8] = b"{\"ends\": \"worker\"}";
 /// Time for which such a request runs before its worker ends.
-const ENDING_TIME: Duration = Duration::from_millis(40);
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 /// Time after which another life of such a worker comes.
 const RESTART_TIME: Duration = Duration::from_millis(600);
 
 /// Start of the first life of each worker that tells it, in Unix milliseconds.
-pub const FIRST_BORN: u64 = 1_764_720_000_000;
+pub const FIRST_START_MS: u64 = 1_764_720_000_000;
 
 /// Identity of a request that tells by which gateway it comes.
-pub fn request_by(gateway: usize, name: &str) -> String {
+pub fn request_id_via(gateway: usize, name: &str) -> String {
     format!("{name}-by{gateway}")
 }
 
@@ -56,9 +56,9 @@
 }
 
 /// Time for which a head without a member stands still before it breaks off.
-const STALL_TIME: Duration = Duration::from_millis(1500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How late a worker that leaves orders unanswered carries them out.
-const LATE_TIME: Duration = Duration::from_millis(900);
+const ORDER_DELAY: Duration = Duration::from_millis(900);
 
 #[derive(Default)]
 struct WorkerState {
@@ -80,7 +80,7 @@
 pub struct Worker {
     pub id: String,
     /// Unix milliseconds of its start, where it tells that.
-    born: Option<u64>,
+    start_ms: Option<u64>,
     address: String,
     service: &'static str,
     engine: bool,
@@ -88,23 +88,23 @@
     seq: AtomicU64,
     stopped: AtomicBool,
     /// Whether controllers neither hear of it nor reach it.
-    cut: AtomicBool,
+    partitioned: AtomicBool,
     /// Whether it leaves orders unanswered and carries them out late.
-    late: AtomicBool,
+    late_orders: AtomicBool,
     /// Whether it says that it leaves.
     leaving: AtomicBool,
     /// Whether it leaves, and what it tells controllers does not say so yet.
-    leaving_unheard: AtomicBool,
+    leaving_unreported: AtomicBool,
     /// Whether it has deregistered, and only serves on.
-    gone: AtomicBool,
+    deregistered: AtomicBool,
     /// Whether its events come at half the usual rate.
     slow: AtomicBool,
     /// Whether it runs requests without a word.
-    mute: AtomicBool,
+    unresponsive: AtomicBool,
     /// Time for which a plain worker works on a request.
-    work: Mutex<Duration>,
+    service_time: Mutex<Duration>,
     /// What it says to each request that it turns away, while it turns all away.
-    turns_away: Mutex<Option<Duration>>,
+    rejection_backoff: Mutex<Option<Duration>>,
     /// The limit that it names in its answers, as it stands there.
     limit: Mutex<Option<&'static str>>,
     /// Requests that came, in order.
@@ -128,15 +128,15 @@
         engine: bool,
         zone: &'static str,
     ) -> Arc<Self> {
-        Self::start_life(fleet, id, (service, engine, zone), None, "127.0.0.1:0")
+        Self::start_instance(fleet, id, (service, engine, zone), None, "127.0.0.1:0")
     }
 
     /// Starts one life of a worker at an address.
-    fn start_life(
+    fn start_instance(
         fleet: &Arc<Fleet>,
         id: &str,
         (service, engine, zone): (&'static str, bool, &'static str),
-        born: Option<u64>,
+        start_ms: Option<u64>,
         address: &str,
     ) -> Arc<Self> {
         let listener = bind_http(address).expect("the port is free");
@@ -144,22 +144,22 @@
         let (stop, stopped) = watch::channel(false);
         let worker = Arc::new(Self {
             id: id.to_owned(),
-            born,
+            start_ms,
             address,
             service,
             engine,
             zone,
             seq: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
-            cut: AtomicBool::new(false),
-            late: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
+            late_orders: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            leaving_unheard: AtomicBool::new(false),
-            gone: AtomicBool::new(false),
+            leaving_unreported: AtomicBool::new(false),
+            deregistered: AtomicBool::new(false),
             slow: AtomicBool::new(false),
-            mute: AtomicBool::new(false),
-            work: Mutex::default(),
-            turns_away: Mutex::default(),
+            unresponsive: AtomicBool::new(false),
+            service_time: Mutex::default(),
+            rejection_backoff: Mutex::default(),
             limit: Mutex::default(),
             arrivals: Mutex::default(),
             state: Mutex::default(),
@@ -167,80 +167,86 @@
             stop,
         });
         tokio::spawn(serve_http(listener, stopped, Arc::clone(&worker)));
-        tokio::spawn(Arc::clone(&worker).beat());
+        tokio::spawn(Arc::clone(&worker).send_heartbeats());
         worker
     }
 
     /// Starts a worker that tells when it was born.
-    pub fn start_born(
+    pub fn start_with_start_time(
         fleet: &Arc<Fleet>,
         id: &str,
         service: &'static str,
         engine: bool,
         zone: &'static str,
     ) -> Arc<Self> {
-        Self::start_life(fleet, id, (service, engine, zone), Some(FIRST_BORN), "127.0.0.1:0")
+        Self::start_instance(
+            fleet,
+            id,
+            (service, engine, zone),
+            Some(FIRST_START_MS),
+            "127.0.0.1:0",
+        )
     }
 
     /// Ends the worker without a word and starts it again under its id after a while, at the same
     /// address or another one; it then knows nothing of before.
-    pub async fn start_again(&self, after: Duration, moved: bool) -> Arc<Self> {
+    pub async fn restart_after(&self, after: Duration, moved: bool) -> Arc<Self> {
         self.kill();
         tokio::time::sleep(after).await;
-        self.start_next(moved)
+        self.start_next_instance(moved)
     }
 
     /// Starts the next life of a worker that has ended.
-    pub fn start_next(&self, moved: bool) -> Arc<Self> {
+    pub fn start_next_instance(&self, moved: bool) -> Arc<Self> {
         if let Some(epoch) = self.epoch() {
-            self.fleet.note_left(epoch, &self.id);
+            self.fleet.record_left(epoch, &self.id);
         }
-        self.fleet.note_alive(&self.id);
-        let born = self.born.map(|born| born + 1000);
+        self.fleet.record_restarted(&self.id);
+        let start_ms = self.start_ms.map(|start_ms| start_ms + 1000);
         let kind = (self.service, self.engine, self.zone);
         let address = if moved { "127.0.0.1:0" } else { &self.address };
-        Self::start_life(&self.fleet, &self.id, kind, born, address)
+        Self::start_instance(&self.fleet, &self.id, kind, start_ms, address)
     }
 
     /// Heartbeats that this life has sent.
-    pub fn beats(&self) -> u64 {
+    pub fn heartbeats_sent(&self) -> u64 {
         self.seq.load(Ordering::Relaxed)
     }
 
     /// Epoch of its replica, if it is a member of one.
     pub fn epoch(&self) -> Option<u64> {
-        self.lock().membership.as_ref().map(|held| held.epoch)
+        self.lock().membership.as_ref().map(|membership| membership.epoch)
     }
 
     /// Ends the worker without a word; its replica stands still.
     pub fn kill(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.fleet.note_dead(&self.id);
+        self.fleet.record_stopped(&self.id);
         self.fleet.set_closed(&self.id);
         self.stop.send_replace(true);
     }
 
     /// Ends under a request; another life comes after a while.
-    async fn end_under_request(self: Arc<Self>, path: String) {
-        tokio::time::sleep(ENDING_TIME).await;
+    async fn crash_under_request(self: Arc<Self>, path: String) {
+        tokio::time::sleep(CRASH_DELAY).await;
         if self.is_stopped() {
             return;
         }
         self.kill();
-        let number = self.fleet.note_ended(path);
+        let number = self.fleet.record_crash(path);
         tokio::time::sleep(RESTART_TIME).await;
         let id = format!("{}-{number}", self.id);
         Self::start_in(&self.fleet, &id, self.service, self.engine, self.zone);
     }
 
     /// Whether controllers neither hear of it nor reach it.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
     /// Whether it leaves orders unanswered and carries them out late.
-    pub fn set_late(&self, late: bool) {
-        self.late.store(late, Ordering::Relaxed);
+    pub fn set_late_orders(&self, late_orders: bool) {
+        self.late_orders.store(late_orders, Ordering::Relaxed);
     }
 
     /// Says from now on that it leaves.
@@ -249,8 +255,8 @@
     }
 
     /// Leaves from now on, while controllers still hear what it said before.
-    pub fn leave_unheard(&self) {
-        self.leaving_unheard.store(true, Ordering::Relaxed);
+    pub fn leave_unreported(&self) {
+        self.leaving_unreported.store(true, Ordering::Relaxed);
     }
 
     /// Has its events come at half the usual rate.
@@ -259,34 +265,34 @@
     }
 
     /// Has it run requests and never answer them.
-    pub fn set_mute(&self) {
-        self.mute.store(true, Ordering::Relaxed);
+    pub fn set_unresponsive(&self) {
+        self.unresponsive.store(true, Ordering::Relaxed);
     }
 
     /// Has a plain worker take this time for each request.
-    pub fn set_work(&self, work: Duration) {
-        *self.work.lock().expect("not poisoned") = work;
+    pub fn set_service_time(&self, service_time: Duration) {
+        *self.service_time.lock().expect("not poisoned") = service_time;
     }
 
     /// Has it turn all requests away and ask for no more for this time, or serve again.
-    pub fn turn_away(&self, backoff: Option<Duration>) {
-        *self.turns_away.lock().expect("not poisoned") = backoff;
+    pub fn set_rejecting(&self, backoff: Option<Duration>) {
+        *self.rejection_backoff.lock().expect("not poisoned") = backoff;
     }
 
     /// Has it name a limit in all its answers, or none.
-    pub fn name_limit(&self, limit: Option<&'static str>) {
+    pub fn set_limit(&self, limit: Option<&'static str>) {
         *self.limit.lock().expect("not poisoned") = limit;
-        let (worker, limit) = (self.life(), limit.and_then(|text| text.parse().ok()));
-        self.fleet.note_demand(DemandEvent::Named { worker, limit, at: Instant::now() });
+        let (worker, limit) = (self.instance_name(), limit.and_then(|text| text.parse().ok()));
+        self.fleet.record_notice_event(NoticeEvent::LimitSet { worker, limit, at: Instant::now() });
     }
 
-    fn named_limit(&self) -> Option<&'static str> {
+    fn current_limit(&self) -> Option<&'static str> {
         *self.limit.lock().expect("not poisoned")
     }
 
     /// Name of this life in the record of what comes to workers.
-    fn life(&self) -> String {
-        format!("{} born {:?}", self.id, self.born)
+    fn instance_name(&self) -> String {
+        format!("{} started at {:?}", self.id, self.start_ms)
     }
 
     /// Requests that came, in order.
@@ -295,14 +301,14 @@
     }
 
     /// Notes a request that came; for how long no more are wanted, where it is turned away.
-    fn note_arrival(&self, request: &str) -> Option<Duration> {
-        let backoff = *self.turns_away.lock().expect("not poisoned");
+    fn record_arrival(&self, request: &str) -> Option<Duration> {
+        let backoff = *self.rejection_backoff.lock().expect("not poisoned");
         if let Some(gateway) = gateway_of(request) {
-            let worker = self.life();
-            let limit = self.named_limit().and_then(|text| text.parse().ok());
-            let word = WorkerWord { backoff, leaving: self.is_leaving(), limit };
+            let worker = self.instance_name();
+            let limit = self.current_limit().and_then(|text| text.parse().ok());
+            let notice = WorkerNotice { backoff, leaving: self.is_leaving(), limit };
             let at = Instant::now();
-            self.fleet.note_demand(DemandEvent::Came { worker, gateway, at, word });
+            self.fleet.record_notice_event(NoticeEvent::Arrived { worker, gateway, at, notice });
         }
         let arrival = Arrival { at: Instant::now(), backoff };
         self.arrivals.lock().expect("not poisoned").push(arrival);
@@ -311,15 +317,15 @@
 
     /// Whether it is about to end, which it says in all its answers.
     fn is_leaving(&self) -> bool {
-        let flags = [&self.leaving, &self.leaving_unheard, &self.gone];
+        let flags = [&self.leaving, &self.leaving_unreported, &self.deregistered];
         flags.iter().any(|flag| flag.load(Ordering::Relaxed))
     }
 
     /// Says that it goes, without having said that it leaves, and serves on for a while.
     pub async fn deregister(&self) {
-        self.gone.store(true, Ordering::Relaxed);
-        let told = self.born.map(|born| json!({"born": born}).to_string());
-        self.tell_controllers("deregister", told.unwrap_or_default().into()).await;
+        self.deregistered.store(true, Ordering::Relaxed);
+        let body = self.start_ms.map(|start_ms| json!({"born": start_ms}).to_string());
+        self.call_controllers("deregister", body.unwrap_or_default().into()).await;
     }
 
     /// Whether it was killed.
@@ -330,7 +336,7 @@
     /// State of its replica, if it is a member of one.
     pub fn membership(&self) -> Option<(String, &'static str)> {
         let state = self.lock();
-        state.membership.as_ref().map(|held| (held.name.clone(), held.state))
+        state.membership.as_ref().map(|membership| (membership.name.clone(), membership.state))
     }
 
     /// Whether it is the head of a replica that serves.
@@ -342,7 +348,7 @@
         self.state.lock().expect("not poisoned")
     }
 
-    async fn beat(self: Arc<Self>) {
+    async fn send_heartbeats(self: Arc<Self>) {
         while !self.stopped.load(Ordering::Relaxed) {
             self.register().await;
             tokio::time::sleep(HEARTBEAT).await;
@@ -351,15 +357,16 @@
 
     /// Registers at the first controller that takes it.
     async fn register(&self) {
-        let silent = self.cut.load(Ordering::Relaxed) || self.gone.load(Ordering::Relaxed);
+        let silent =
+            self.partitioned.load(Ordering::Relaxed) || self.deregistered.load(Ordering::Relaxed);
         if self.is_stopped() || silent {
             return;
         }
-        self.tell_controllers("heartbeat", self.heartbeat().to_string().into()).await;
+        self.call_controllers("heartbeat", self.heartbeat().to_string().into()).await;
     }
 
     /// Makes a call of this worker at the first controller that takes it.
-    async fn tell_controllers(&self, call: &str, body: Bytes) {
+    async fn call_controllers(&self, call: &str, body: Bytes) {
         for controller in &self.fleet.controllers {
             let request = Request::builder()
                 .method(Method::POST)
@@ -379,16 +386,16 @@
         let state = self.lock();
         let models: Vec<Value> =
             state.model.iter().map(|name| json!({"name": name, "version": 1})).collect();
-        let group = state.membership.as_ref().map(|held| {
-            let rank = held.members.iter().position(|member| *member == self.id);
-            json!({"name": held.name, "epoch": held.epoch, "rank": rank, "state": held.state})
+        let group = state.membership.as_ref().map(|membership| {
+            let rank = membership.members.iter().position(|member| *member == self.id);
+            json!({"name": membership.name, "epoch": membership.epoch, "rank": rank, "state": membership.state})
         });
         let leaving = self.leaving.load(Ordering::Relaxed);
-        let told = if leaving { "draining" } else { "ready" };
+        let reported_state = if leaving { "draining" } else { "ready" };
         let mut body = json!({"service": self.service, "address": self.address, "zone": self.zone,
-            "version": "v1", "cold_left_ms": 0, "slots": 8, "state": told, "seq": seq + 1, "models": models, "group": group});
-        if let Some(born) = self.born {
-            body["born"] = json!(born);
+            "version": "v1", "cold_left_ms": 0, "slots": 8, "state": reported_state, "seq": seq + 1, "models": models, "group": group});
+        if let Some(start_ms) = self.start_ms {
+            body["born"] = json!(start_ms);
         }
         if self.engine {
             body["domain"] = json!(format!("{}-d0", self.zone));
@@ -398,10 +405,10 @@
     }
 
     /// Whether the replica that this worker heads lacks a member.
-    fn stands_still(&self) -> bool {
+    fn is_stalled(&self) -> bool {
         let state = self.lock();
-        let Some(held) = &state.membership else { return false };
-        held.members.iter().any(|member| self.fleet.is_missing(held.epoch, member))
+        let Some(membership) = &state.membership else { return false };
+        membership.members.iter().any(|member| self.fleet.is_missing(membership.epoch, member))
     }
 
     fn answer_request(self: &Arc<Self>, head: &Parts, body: &[u8]) -> HttpAnswer {
@@ -414,33 +421,34 @@
         if self.is_leaving() {
             builder = builder.header("server-leaving", "1");
         }
-        if let Some(limit) = self.named_limit() {
+        if let Some(limit) = self.current_limit() {
             builder = builder.header("server-limit", limit);
         }
-        let held = self.lock().membership.clone().filter(|held| held.state == "open");
-        if header("target-instance") != self.id || (self.engine && held.is_none()) {
+        let membership =
+            self.lock().membership.clone().filter(|membership| membership.state == "open");
+        if header("target-instance") != self.id || (self.engine && membership.is_none()) {
             return builder.status(421).body(AnswerBody::complete("")).expect("sound");
         }
-        if let Some(backoff) = self.note_arrival(&id) {
+        if let Some(backoff) = self.record_arrival(&id) {
             let builder = builder.status(503).header("not-executed", "1");
             let builder = builder.header("retry-after", backoff.as_secs_f64().to_string());
             return builder.body(AnswerBody::complete("")).expect("sound");
         }
-        if let Some(held) = &held {
-            self.fleet.check_whole(held, &id);
+        if let Some(membership) = &membership {
+            self.fleet.check_complete(membership, &id);
         }
-        self.fleet.note_run(&id, held.as_ref().map(|held| held.epoch));
+        self.fleet.record_run(&id, membership.as_ref().map(|membership| membership.epoch));
         let builder = builder.header("response-signature", format!("{}.1", self.id));
-        if body == ENDS_WORKER {
+        if body == CRASHING_BODY {
             let path = head.uri.path().to_owned();
-            self.fleet.note_ending_run(&path);
-            tokio::spawn(Arc::clone(self).end_under_request(path));
+            self.fleet.record_crashing_run(&path);
+            tokio::spawn(Arc::clone(self).crash_under_request(path));
             // The head goes out, and no event.
-            let cut = unfold((), |()| async {
-                tokio::time::sleep(ENDING_TIME).await;
+            let truncated = unfold((), |()| async {
+                tokio::time::sleep(CRASH_DELAY).await;
                 Some((Err(TruncatedAnswerError), ()))
             });
-            return builder.body(AnswerBody::Chunks(Box::pin(cut))).expect("sound");
+            return builder.body(AnswerBody::Chunks(Box::pin(truncated))).expect("sound");
         }
         if !self.engine {
             let body = format!("tenant {} request {id}", header("tenant"));
@@ -460,8 +468,8 @@
                     return Some((Err(TruncatedAnswerError), EVENTS + 1));
                 }
                 let since = Instant::now();
-                while worker.stands_still() {
-                    if since.elapsed() > STALL_TIME {
+                while worker.is_stalled() {
+                    if since.elapsed() > STALL_TIMEOUT {
                         return Some((Err(TruncatedAnswerError), EVENTS + 1));
                     }
                     tokio::time::sleep(EVENT_PAUSE).await;
@@ -483,7 +491,7 @@
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let control = head.uri.path().starts_with("/-/");
-        if control && self.cut.load(Ordering::Relaxed) {
+        if control && self.partitioned.load(Ordering::Relaxed) {
             tokio::time::sleep(LIMITS.idle).await;
         }
         let other = head.headers.get("target-instance").is_some_and(|id| *id != self.id);
@@ -493,31 +501,31 @@
         match head.uri.path() {
             "/-/order" => {
                 let order = serde_json::from_slice(&body).unwrap_or_default();
-                if self.late.load(Ordering::Relaxed) {
+                if self.late_orders.load(Ordering::Relaxed) {
                     let worker = Arc::clone(&self);
                     tokio::spawn(async move {
-                        tokio::time::sleep(LATE_TIME).await;
+                        tokio::time::sleep(ORDER_DELAY).await;
                         if !worker.is_stopped() {
-                            worker.take_order(&order);
+                            worker.handle_order(&order);
                         }
                     });
                     tokio::time::sleep(LIMITS.idle).await;
                     return Response::new(AnswerBody::complete(""));
                 }
-                let status = self.take_order(&order);
+                let status = self.handle_order(&order);
                 Response::builder().status(status).body(AnswerBody::complete("{}")).expect("sound")
             }
             "/-/report" => {
-                let told = self.born.map_or(json!({}), |born| json!({"born": born}));
-                Response::new(AnswerBody::complete(told.to_string()))
+                let report = self.start_ms.map_or(json!({}), |start_ms| json!({"born": start_ms}));
+                Response::new(AnswerBody::complete(report.to_string()))
             }
             _ => {
                 let answer = self.answer_request(&head, &body);
                 if answer.status().is_success() {
-                    let work = *self.work.lock().expect("not poisoned");
-                    tokio::time::sleep(work).await;
+                    let service_time = *self.service_time.lock().expect("not poisoned");
+                    tokio::time::sleep(service_time).await;
                 }
-                if self.mute.load(Ordering::Relaxed) {
+                if self.unresponsive.load(Ordering::Relaxed) {
                     tokio::time::sleep(LIMITS.idle).await;
                 }
                 answer
