--- a/tests/platform/disturbance.rs
+++ b/tests/platform/disturbance.rs
@@ -1,66 +1,67 @@
-//! Disturbances of a soak, drawn from a seed.
+//! Disturbances of a soak run, drawn from a seed.
 //!
-//! Several series run over each other: each disturbance begins at a time of its own and lasts for
-//! a while, whatever else is under way. Disks are lost one at a time, since that is what the
-//! system is set up to bear.
+//! Several series overlap: each disturbance starts at its own time and lasts for a while,
+//! independent of the others. Disks are lost one at a time, since the system tolerates the loss of
+//! one.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time in which disturbances begin.
+/// Time span in which disturbances start.
 pub const DISTURBED_TIME: Duration = Duration::from_secs(8);
-/// Series that run over each other.
+/// Number of overlapping series.
 const SERIES: usize = 3;
-/// Bounds of the length of a disturbance and of the pause after it, in milliseconds.
+/// Bounds of the duration of a disturbance and of the pause after it, in milliseconds.
 const DURATION_MS: (u64, u64) = (300, 2500);
 const PAUSE_MS: (u64, u64) = (100, 1200);
 
-/// What is done to the system.
+/// Kind of a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisturbanceKind {
     /// A daemon is killed and started again.
     Kill,
-    /// A daemon stands still and goes on.
+    /// A daemon is suspended and resumed.
     Freeze,
-    /// A daemon is told to end, and started again.
+    /// A daemon is asked to shut down, and started again.
     Terminate,
     /// A controller is killed and its disk is lost.
     Wipe,
     /// All controllers are killed at once.
     KillControllers,
-    /// A daemon is cut off from all others.
+    /// A daemon is partitioned from all others.
     IsolateDaemon,
-    /// One direction of a link is silent.
+    /// One direction of a link drops all traffic.
     SilenceLink,
     /// A link's connections are closed and refused.
     CloseLink,
     /// A link is slow.
     DelayLink,
-    /// A worker ends, and another life comes.
+    /// A worker is killed, and a worker with another id replaces it.
     KillWorker,
-    /// A worker is cut off from controllers, while gateways reach it.
+    /// A worker is partitioned from controllers, while gateways reach it.
     PartitionWorker,
-    /// A worker leaves orders unanswered and carries them out late.
+    /// A worker leaves orders unanswered and executes them late.
     LateOrders,
-    /// A worker says that it leaves, ends, and another life comes.
+    /// A worker reports that it is leaving and terminates, and a worker with another id replaces
+    /// it.
     DrainWorker,
-    /// A worker ends, and starts again under its id after a while.
+    /// A worker is killed, and started again with the same id after a while.
     RestartWorker,
-    /// A worker ends, and starts again under its id at once.
+    /// A worker is killed, and started again with the same id at once.
     RestartWorkerAtOnce,
-    /// Other writers use a worker's id.
+    /// Other writers send records with a worker's id.
     ForeignRecords,
-    /// A request that ends the workers it runs on comes several times.
+    /// A request that crashes the workers that run it is sent several times.
     CrashingRequest,
-    /// A worker turns requests away and asks for none for a while.
+    /// A worker rejects requests and asks for a backoff for a while.
     RejectRequests,
-    /// A worker says in its answers that it leaves, and controllers hear of it only as it ends.
+    /// A worker states in its answers that it is leaving, and does not report it to controllers.
     LeaveUnreported,
-    /// A worker names a limit for a while.
+    /// A worker states a request limit for a while.
     SetLimit,
-    /// Many copies of a request that ends the workers it runs on come at once.
+    /// Many duplicates of a request that crashes the workers that run it are sent at once.
     CrashingBurst,
     /// All daemons are killed at once, and one controller's disk is lost.
     LosePower,
@@ -82,50 +83,52 @@
     DisturbanceKind::DrainWorker,
 ];
 
-/// Kinds of a series of their own, drawn apart so that a seed keeps its other disturbances.
+/// Kinds of a separate series. It has its own seed, so that the other disturbances of a seed stay
+/// the same.
 const INSTANCE_KINDS: [DisturbanceKind; 4] = [
     DisturbanceKind::RestartWorker,
     DisturbanceKind::RestartWorkerAtOnce,
     DisturbanceKind::ForeignRecords,
     DisturbanceKind::CrashingRequest,
 ];
-/// What makes the seed of that series another one.
+/// Value that is combined with the seed of a run to seed that series.
 const INSTANCE_SEED: u64 = 0x11fe;
-/// Kinds of a third sort of series, and its seed.
+/// Kinds of the series with notices of workers, and the value that seeds them.
 const NOTICE_KINDS: [DisturbanceKind; 2] =
     [DisturbanceKind::RejectRequests, DisturbanceKind::LeaveUnreported];
 const NOTICE_SEED: u64 = 0xdead;
 
-/// Kinds of a fourth sort of series, and its seed.
+/// Kinds of the series with request limits, and the value that seeds them.
 const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::SetLimit];
 const LIMIT_SEED: u64 = 0x1131;
 
-/// Kinds of a series of their own, since one of them leaves few workers for a while.
+/// Kinds of a separate series, since a burst leaves few workers for a while, and the value that
+/// seeds it.
 const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::CrashingBurst];
 const BURST_SEED: u64 = 0xb0057;
 
-/// What makes the seed of a loss of power another one, and when that comes.
+/// Value that seeds the power loss, and the bounds of its start time.
 const POWER_LOSS_SEED: u64 = 0x90e5;
 const POWER_LOSS_AT_MS: (u64, u64) = (2_000, 7_000);
-/// Bounds of the time for which power is away.
+/// Bounds of the duration of the power loss.
 const OUTAGE_MS: (u64, u64) = (200, 1_500);
 
 /// One disturbance.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
-    /// When it begins.
+    /// Start time, relative to the start of the run.
     pub at: Duration,
-    /// For how long it lasts.
+    /// Time between start and end.
     pub duration: Duration,
-    /// What is done.
+    /// Kind of the disturbance.
     pub kind: DisturbanceKind,
-    /// Numbers by which daemons or workers are chosen.
+    /// Number that selects the daemon, the worker or the first end of a link.
     pub first: usize,
-    /// The second end of a link.
+    /// Number that selects the second end of a link, or other details of the disturbance.
     pub second: usize,
 }
 
-/// The disturbances of a seed, in the order in which they begin.
+/// Draws the disturbances of a seed, ordered by start time.
 pub fn draw_disturbances(seed: u64) -> Vec<Disturbance> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut drawn = Vec::new();
--- a/tests/platform/fleet.rs
+++ b/tests/platform/fleet.rs
@@ -1,4 +1,5 @@
-//! What all stand-in workers of a test share: who is alive, and what ran.
+//! State that all stand-in workers of a test share: which of them are stopped, which requests ran,
+//! and which invariants were violated.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -8,10 +9,10 @@
 use crate::limit_check::find_limit_breaches;
 use crate::notices::{NoticeEvent, find_notice_breaches};
 
-/// Members of each replica.
+/// Number of members of each replica.
 pub const REPLICA_SIZE: usize = 3;
 
-/// A worker's part in a replica.
+/// A worker's membership in a replica.
 #[derive(Clone)]
 pub struct Membership {
     pub name: String,
@@ -26,29 +27,31 @@
     }
 }
 
-/// Name, epoch and members, which a member joins under.
+/// Name, epoch and members with which a member joins a replica.
 type ReplicaKey = (String, u64, Vec<String>);
 
-/// What all workers of a test share: who is alive, and what ran.
+/// State shared by all workers of a test.
 #[derive(Default)]
 pub struct Fleet {
     pub controllers: Vec<String>,
     stopped: Mutex<Vec<String>>,
     runs: Mutex<BTreeMap<String, u32>>,
-    /// Members that were ready, by name, epoch and list.
+    /// Members that were ready, by name, epoch and member list of the replica.
     ready: Mutex<BTreeMap<ReplicaKey, BTreeSet<String>>>,
-    /// Heads that are open, by epoch.
+    /// Open heads, by epoch.
     open: Mutex<BTreeMap<u64, String>>,
-    /// Members that have left a replica, by its epoch.
+    /// Members that have left a replica, with its epoch.
     left: Mutex<BTreeSet<(u64, String)>>,
-    /// What the workers saw that must not be.
+    /// Violated invariants that the workers observed.
     breaches: Mutex<Vec<String>>,
-    /// When requests that end workers began to run, by path, and when workers ended under them.
+    /// Times at which crashing requests started to run, with their paths.
     crashing_runs: Mutex<Vec<(String, Instant)>>,
+    /// Times at which workers crashed under requests, with the paths of the requests.
     crashes: Mutex<Vec<(String, Instant)>>,
-    /// What came to workers, and what they said, where the request tells its gateway.
+    /// Requests that arrived at workers and the notices of the workers, for requests whose id names
+    /// their gateway.
     notice_events: Mutex<Vec<NoticeEvent>>,
-    /// Requests that ran in replicas, and under which epoch.
+    /// Requests that ran in replicas, with the epoch of the replica.
     replica_runs: Mutex<Vec<(String, u64)>>,
 }
 
@@ -57,38 +60,39 @@
         Arc::new(Self { controllers, ..Self::default() })
     }
 
-    /// How often a request ran.
+    /// Returns how often a request ran.
     pub fn runs(&self, request: &str) -> u32 {
         self.runs.lock().expect("not poisoned").get(request).copied().unwrap_or_default()
     }
 
-    /// How many workers a request has ended.
+    /// Returns how many workers crashed under requests.
     pub fn crash_count(&self) -> u32 {
         self.crashes.lock().expect("not poisoned").len() as u32
     }
 
-    /// When requests that end workers began to run, by path.
+    /// Returns the times at which crashing requests started to run, with their paths.
     pub fn crashing_runs(&self) -> Vec<(String, Instant)> {
         self.crashing_runs.lock().expect("not poisoned").clone()
     }
 
-    /// When workers ended under requests, by path.
+    /// Returns the times at which workers crashed under requests, with the paths of the requests.
     pub fn crashes(&self) -> Vec<(String, Instant)> {
         self.crashes.lock().expect("not poisoned").clone()
     }
 
-    /// Epochs of the replicas in which a request ran.
+    /// Returns the epochs of the replicas in which a request ran.
     pub fn epochs_of(&self, request: &str) -> Vec<u64> {
         let runs = self.replica_runs.lock().expect("not poisoned");
         runs.iter().filter(|(id, _)| id == request).map(|(_, epoch)| *epoch).collect()
     }
 
-    /// How often each request ran.
+    /// Returns how often each request ran.
     pub fn all_runs(&self) -> BTreeMap<String, u32> {
         self.runs.lock().expect("not poisoned").clone()
     }
 
-    /// What the workers saw that must not be.
+    /// Returns the violated invariants: those that workers observed, and those found in the recorded
+    /// events.
     pub fn breaches(&self) -> Vec<String> {
         let mut breaches = self.breaches.lock().expect("not poisoned").clone();
         let notice_events = self.notice_events();
@@ -97,12 +101,12 @@
         breaches
     }
 
-    /// What came to workers and what they said, in order.
+    /// Returns the requests that arrived at workers and the notices of the workers, in order.
     pub fn notice_events(&self) -> Vec<NoticeEvent> {
         self.notice_events.lock().expect("not poisoned").clone()
     }
 
-    /// Notes something that counts for what workers ask for.
+    /// Records an event for the checks of workers' notices.
     pub fn record_notice_event(&self, event: NoticeEvent) {
         self.notice_events.lock().expect("not poisoned").push(event);
     }
@@ -116,7 +120,7 @@
         ready.entry(membership.key()).or_default().insert(id.to_owned());
     }
 
-    /// A request starts to run at an open head: each member must have been ready with it.
+    /// Checks, as a request starts to run at an open head, that each member has been ready.
     pub fn check_complete(&self, membership: &Membership, request: &str) {
         let ready = self.ready.lock().expect("not poisoned");
         let ready = ready.get(&membership.key()).map_or(0, BTreeSet::len);
@@ -128,7 +132,7 @@
         }
     }
 
-    /// A worker joins another replica: the head of the one it is in must not be open.
+    /// Checks, as a worker joins another replica, that the head of its current replica is not open.
     pub fn check_closed(&self, membership: &Membership, id: &str, next: &str) {
         let open = self.open.lock().expect("not poisoned").contains_key(&membership.epoch);
         if open {
@@ -152,7 +156,7 @@
         self.left.lock().expect("not poisoned").remove(&(epoch, id.to_owned()));
     }
 
-    /// Whether a member takes no part in a replica any more, so that it stands still.
+    /// Returns whether a member has left a replica or is stopped, so that the replica stalls.
     pub fn is_missing(&self, epoch: u64, id: &str) -> bool {
         let left = self.left.lock().expect("not poisoned").contains(&(epoch, id.to_owned()));
         left || self.is_stopped(id)
@@ -162,17 +166,17 @@
         self.stopped.lock().expect("not poisoned").iter().any(|stopped| stopped == id)
     }
 
-    /// Notes that a worker has ended.
+    /// Records that a worker has stopped.
     pub fn record_stopped(&self, id: &str) {
         self.stopped.lock().expect("not poisoned").push(id.to_owned());
     }
 
-    /// Notes that a worker of this name runs again.
+    /// Records that a worker with this id has started again.
     pub fn record_restarted(&self, id: &str) {
         self.stopped.lock().expect("not poisoned").retain(|stopped| stopped != id);
     }
 
-    /// Notes that a request began to run, and under which epoch in a replica.
+    /// Records that a request started to run, and the epoch if it runs in a replica.
     pub fn record_run(&self, request: &str, epoch: Option<u64>) {
         *self.runs.lock().expect("not poisoned").entry(request.to_owned()).or_default() += 1;
         if let Some(epoch) = epoch {
@@ -181,13 +185,13 @@
         }
     }
 
-    /// Notes that a request which ends workers began to run.
+    /// Records that a crashing request started to run.
     pub fn record_crashing_run(&self, path: &str) {
         let run = (path.to_owned(), Instant::now());
         self.crashing_runs.lock().expect("not poisoned").push(run);
     }
 
-    /// Notes that a worker ended under such a request; how many have so far.
+    /// Records that a worker crashed under a request, and returns the number of crashes so far.
     pub fn record_crash(&self, path: String) -> usize {
         let mut crashes = self.crashes.lock().expect("not poisoned");
         crashes.push((path, Instant::now()));
--- a/tests/platform/limit_check.rs
+++ b/tests/platform/limit_check.rs
@@ -1,6 +1,6 @@
-//! Checks that workers get no more requests than the limits that they name allow.
+//! Checks that workers do not get more requests than the limits that they state.
 //!
-//! The check is pure: it goes by the ordered record of what workers named and what came to them.
+//! The check is a pure function of the recorded limit changes and request arrivals, in order.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,19 +12,20 @@
 
 /// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Multiple of what a limit allows that may come in a window, and requests beyond that.
+/// Factor on the requests that a limit permits in a window, and number of requests allowed beyond
+/// that.
 const ALLOWED_FACTOR: f64 = 1.5;
 const ALLOWED_EXTRA: f64 = 5.0;
-/// Time after a worker has told a gateway from which on that gateway's requests count.
+/// Time after an answer with a limit from which on later requests of that gateway count.
 const NOTICE_DELAY: Duration = Duration::from_millis(500);
-/// Time after a worker has first named a limit from which on it has to be kept, and time for which a
+/// Time after a worker's first limit from which on the limit is enforced, and time for which a
 /// disturbance excuses a gateway.
 const GRACE_TIME: Duration = Duration::from_secs(3);
 
-/// What one worker named, from when on.
+/// Limits of one worker, each with the time from which on it applies.
 type LimitHistory = Vec<(Instant, Option<f64>)>;
 
-/// Workers that got more than they allow, and by how much.
+/// Returns a message for each worker that got more requests than it allows, with the worst excess.
 pub fn find_limit_breaches(events: &[NoticeEvent]) -> Vec<String> {
     let workers: BTreeSet<&str> = events.iter().filter_map(worker_of_limit).collect();
     workers.into_iter().filter_map(|worker| find_breach(events, worker)).collect()
@@ -37,7 +38,8 @@
     }
 }
 
-/// The window of a worker in which most came beyond what was allowed.
+/// Returns a message on the window with the highest ratio of arrived to allowed requests, if that
+/// window exceeds the allowance.
 fn find_breach(events: &[NoticeEvent], name: &str) -> Option<String> {
     let limits = events.iter().filter_map(|event| match event {
         NoticeEvent::LimitSet { worker, limit, at } if worker == name => Some((*at, *limit)),
@@ -59,7 +61,7 @@
         if arrived > allowed.round() && worst.as_ref().is_none_or(|(most, _)| times > *most) {
             let since = end.saturating_duration_since(first).as_secs_f64();
             let text = format!(
-                "{name} got {arrived} requests in 4 s, {since:.1} s after it named a limit; \
+                "{name} got {arrived} requests in 4 s, {since:.1} s after its first limit; \
                  {allowed:.1} allowed"
             );
             worst = Some((times, text));
@@ -68,7 +70,7 @@
     worst.map(|(_, text)| text)
 }
 
-/// When requests came by gateways that the worker had told, in order.
+/// Returns the arrival times of requests from gateways that had already received a limit, in order.
 fn counted_arrivals(events: &[NoticeEvent], name: &str) -> Vec<Instant> {
     let arrived: Vec<(usize, Instant, WorkerNotice)> = events
         .iter()
@@ -101,8 +103,8 @@
     })
 }
 
-/// Requests that the limits named grant in the window before a moment; none where the worker took
-/// any number for a part of it. Before the first limit that one counts.
+/// Returns the number of requests that the limits permit in the window before `end`, or `None` if
+/// the worker had no limit in a part of the window. Before the first limit, that limit applies.
 fn granted_until(limits: &LimitHistory, end: Instant) -> Option<f64> {
     let start = end.checked_sub(WINDOW)?;
     let mut granted = 0.0;
@@ -121,18 +123,18 @@
 const LIMITED: WorkerNotice = WorkerNotice { backoff: None, leaving: false, limit: Some(2.0) };
 const UNLIMITED: WorkerNotice = WorkerNotice { backoff: None, leaving: false, limit: None };
 
-/// One request a gateway that tells it, at the beginning.
+/// Returns a limit of 2 per second and one request from each gateway, answered with that limit.
 fn notified_gateways(start: Instant, count: usize) -> Vec<NoticeEvent> {
-    let notified_at = |gateway| arrived(start, gateway, LIMITED);
+    let notified = |gateway| arrived(start, gateway, LIMITED);
     let limits = NoticeEvent::LimitSet { worker: "w".to_owned(), limit: Some(2.0), at: start };
-    [limits].into_iter().chain((0..count).map(notified_at)).collect()
+    [limits].into_iter().chain((0..count).map(notified)).collect()
 }
 
 fn arrived(at: Instant, gateway: usize, notice: WorkerNotice) -> NoticeEvent {
     NoticeEvent::Arrived { worker: "w".to_owned(), gateway, at, notice }
 }
 
-/// With a limit of 2 a second, 17 requests may come in 4 s.
+/// A limit of 2 per second allows 17 requests in 4 s.
 #[rstest]
 #[case::allowed(17, 0)]
 #[case::one_more(18, 1)]
@@ -179,7 +181,7 @@
     assert_eq!(breaches.len(), expected, "{breaches:?}");
 }
 
-/// Limits that change within the window count for the time for which they held.
+/// A limit that applies in a part of the window counts in proportion to that part.
 #[rstest]
 #[case::falls(&[(4000, Some(0.0))], 11, 0)]
 #[case::falls_one_more(&[(4000, Some(0.0))], 12, 1)]
@@ -201,7 +203,7 @@
         at: at(*ms),
     };
     events.extend(changes.iter().map(change));
-    // Half of the window is before the change.
+    // Half of the window lies before the change.
     events.extend((0..count).map(|_| arrived(at(6000), 0, LIMITED)));
     let breaches = find_limit_breaches(&events);
     assert_eq!(breaches.len(), expected, "{breaches:?}");
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes, before stand-in workers of the platform.
+//! End-to-end tests of real controller and gateway processes with stand-in workers of the platform.
 
 mod backoff;
 mod changes;
@@ -63,7 +63,7 @@
     let body = String::from_utf8_lossy(&body);
     assert!(body.starts_with("tenant family request hold-"), "{body}");
     let status = async |path: &str, key: Option<&str>| {
-        let answer = system.call(0, path, "refused", key).await.expect("it is answered");
+        let answer = system.call(0, path, "refused", key).await.expect("the gateway answers");
         answer.status().as_u16()
     };
     assert_eq!(status("/chat/1", Some("other")).await, 401);
@@ -74,7 +74,7 @@
     let mut bad = configuration(4);
     bad["routes"][0]["timeout_ms"] = 0.into();
     assert_eq!(system.replace(&bad).await, 400);
-    assert_eq!(system.replace(&configuration(2)).await, 200, "an older one changes nothing");
+    assert_eq!(system.replace(&configuration(2)).await, 200, "an older version changes nothing");
     assert_eq!(system.fetch().await, configuration(3));
     let logs = system.logs();
     assert!(!logs.contains("event=voters_proposed"), "no voter was lost: {logs}");
@@ -86,7 +86,7 @@
     let deployment = deploy(5).await;
     let system = &deployment.system;
     system.call_until_served("/chat/1", "counted").await;
-    system.call(0, "/none/1", "no-route", Some(KEY)).await.expect("it is answered");
+    system.call(0, "/none/1", "no-route", Some(KEY)).await.expect("the gateway answers");
     let gateways = system.metrics(3).await + &system.metrics(4).await;
     for line in [
         "hollowbarrow_gateway_requests{outcome=\"streamed\"} 1",
@@ -137,15 +137,16 @@
     }
 }
 
-/// Streams stood still, and some broke off, 1.2 s after the head of their replica had deregistered
-/// without a word before: it serves on for two seconds, but its members were taken for another
-/// replica at once (`event=replica_released reason="the head is lost"`, then orders to leave).
+/// Guards against truncated streams after the head of their replica deregisters without a leaving
+/// notice. The head serves on for two seconds, but controllers released the replica at once
+/// (`event=replica_released reason="the head is lost"`) and ordered its members to leave, so that
+/// streams stalled and some were truncated 1.2 s after the deregistration.
 #[rstest]
 #[tokio::test]
 async fn stream_kept_at_deregistered_head() {
     let deployment = deploy(13).await;
     let system = &deployment.system;
-    // With a spare, the members that are left can form another replica.
+    // With a spare worker, the remaining members can form another replica.
     let _spare = Worker::start(&deployment.fleet, "spare", "models", true);
     system.call_until_served("/chat/1", "warm").await;
     wait_for_replicas(&deployment, 3).await;
@@ -167,40 +168,48 @@
         assert_eq!(String::from_utf8_lossy(answer.body()), complete_stream());
     }
     let logs = system.logs();
-    assert!(!logs.contains("event=stream_resumed"), "a stream was broken off: {logs}");
+    assert!(!logs.contains("event=stream_resumed"), "a stream was resumed: {logs}");
 }
 
-/// Served requests after which a gateway may repeat more than two: each earns 0.15 of a repeat.
+/// Number of served requests after which the retry budget of a gateway permits more than two
+/// retries. Each served request adds 0.15 of a retry.
 const RETRY_BUDGET_REQUESTS: u32 = 20;
 
-/// Six requests ran at three workers each although their route allows two: a send counted only once
-/// the head of its answer had come, and these workers ran what they got without a word.
+/// Guards against requests that exceed the attempts of their route. A send counted only once the
+/// head of its answer had arrived, so six requests ran at three unresponsive workers each although
+/// their route allows two attempts.
 #[rstest]
 #[tokio::test]
 async fn attempts_bounded_at_unresponsive_workers() {
     let deployment = deploy(14).await;
     let system = &deployment.system;
-    // With a spare there is room for a third replica.
+    // With a spare worker a third replica can form.
     let spare = Worker::start(&deployment.fleet, "spare", "models", true);
     let mut bounded = configuration(4);
     bounded["routes"][0]["max_attempts"] = 2.into();
     assert_eq!(system.replace(&bounded).await, 200);
     system.call_until_served("/chat/1", "warm").await;
     wait_for_replicas(&deployment, 3).await;
-    // What is served earns the gateway more repeats than the request could use.
+    // The served requests raise the retry budget above what the request could use.
     for number in 0..RETRY_BUDGET_REQUESTS {
         let id = format!("earning-{number}");
-        system.call(0, "/chat/1", &id, Some(KEY)).await.expect("it is answered");
+        system.call(0, "/chat/1", &id, Some(KEY)).await.expect("the gateway answers");
     }
     deployment.engines.iter().chain([&spare]).for_each(|engine| engine.set_unresponsive());
-    let answer = system.call(0, "/chat/1", "bounded", Some(KEY)).await.expect("it is answered");
+    let answer =
+        system.call(0, "/chat/1", "bounded", Some(KEY)).await.expect("the gateway answers");
     assert_eq!(deployment.fleet.runs("bounded"), 2, "{}", system.logs());
     let status = answer.status().as_u16();
-    assert_eq!(status, 504, "the last attempt is waited for, and may have run: {}", system.logs());
+    assert_eq!(
+        status,
+        504,
+        "the gateway waits for the last attempt, which may have run: {}",
+        system.logs()
+    );
 }
 
-/// A call that may be repeated waited at a worker that hung until its deadline: 98 of 946 such calls
-/// failed on a day on which workers hang.
+/// Guards against idempotent calls that wait at an unresponsive worker until their deadline: 98 of
+/// 946 such calls failed while workers hung.
 #[rstest]
 #[tokio::test]
 async fn call_served_beside_unresponsive_worker() {
@@ -212,28 +221,28 @@
     repeatable["routes"][1]["max_attempts"] = 2.into();
     assert_eq!(system.replace(&repeatable).await, 200);
     system.call_until_served("/hold/1", "warm").await;
-    // At the gateway that is called below: each of the calls there may need a repeat.
+    // The budget is filled at the gateway called below, where each call may need a retry.
     for number in 0..2 * RETRY_BUDGET_REQUESTS {
         let id = format!("earning-{number}");
-        system.call(0, "/hold/1", &id, Some(KEY)).await.expect("it is answered");
+        system.call(0, "/hold/1", &id, Some(KEY)).await.expect("the gateway answers");
     }
     unresponsive.set_unresponsive();
     for number in 0..6 {
         let id = format!("hold-{number}");
-        let answer = system.call(0, "/hold/1", &id, Some(KEY)).await.expect("it is answered");
+        let answer = system.call(0, "/hold/1", &id, Some(KEY)).await.expect("the gateway answers");
         assert_eq!(answer.status().as_u16(), 200, "{}", system.logs());
     }
 }
 
-/// Waits until so many replicas are open.
-async fn wait_for_replicas(deployment: &Deployment, wanted: usize) {
+/// Waits until the given number of replicas is open.
+async fn wait_for_replicas(deployment: &Deployment, expected: usize) {
     for _ in 0..600 {
-        if deployment.engines.iter().filter(|engine| engine.is_open_head()).count() == wanted {
+        if deployment.engines.iter().filter(|engine| engine.is_open_head()).count() == expected {
             return;
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("there are not {wanted} replicas: {}", deployment.system.logs());
+    panic!("{expected} replicas are not open: {}", deployment.system.logs());
 }
 
 #[rstest]
@@ -248,13 +257,14 @@
         assert_eq!(system.replace(&configuration(version)).await, 200);
         system.restart_controller(index, wiped);
         assert_eq!(system.fetch().await, configuration(version));
-        // The next loss comes only once this one has caught up: it votes again.
+        // Only one controller is lost at a time: the next one waits until this one is a voter
+        // again.
         wait_for_voter(system, index).await;
     }
     deployment.system.call_until_served("/chat/1", "after").await;
 }
 
-/// Waits until a controller that came back is a voter again.
+/// Waits until a restarted controller is a voter again.
 async fn wait_for_voter(system: &System, index: usize) {
     for _ in 0..600 {
         if system.is_voter(index) {
@@ -262,5 +272,5 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("controller {index} does not vote again: {}", system.logs());
+    panic!("controller {index} is not a voter again: {}", system.logs());
 }
--- a/tests/platform/notices.rs
+++ b/tests/platform/notices.rs
@@ -1,44 +1,44 @@
-//! Checks that gateways heed what workers ask for in their answers.
+//! Checks that gateways respect the notices in workers' answers: backoff, limit and leaving.
 //!
-//! The record holds, in order, what came to workers and when gateways were disturbed. The checks
-//! are pure, so that each can be shown by a record that only just breaks it.
+//! The record holds request arrivals and gateway disturbances in order. The checks are pure
+//! functions, so that tests can use records that violate a rule by the smallest amount.
 
 use std::time::Duration;
 
 use rstest::rstest;
 use tokio::time::Instant;
 
-/// Time after a worker's word in which a request that was under way may still come.
+/// Time after a notice in which a request that was in flight may still arrive.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// Requests that may come later than that within the time for which none are wanted.
+/// Number of requests that may arrive later than that during a backoff.
 const MAX_DURING_BACKOFF: usize = 2;
-/// Time after which a worker that has said that it leaves gets nothing from whoever was told.
+/// Time after a leaving notice from which on the notified gateway may send nothing.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// What a worker said in its answer to a request.
+/// Notice of a worker in its answer to a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkerNotice {
-    /// For how long it wants no requests from the gateway that sent this one.
+    /// Time for which the gateway must send no requests.
     pub backoff: Option<Duration>,
-    /// Whether it is about to end.
+    /// Whether the worker is about to terminate.
     pub leaving: bool,
-    /// Requests a second that it takes, where it names that.
+    /// Limit in requests per second, if the worker states one.
     pub limit: Option<f64>,
 }
 
-/// Something that counts for what workers ask for.
+/// Event that the checks of notices evaluate.
 #[derive(Clone, Debug)]
 pub enum NoticeEvent {
-    /// A request came to a worker.
+    /// A request arrived at a worker.
     Arrived { worker: String, gateway: usize, at: Instant, notice: WorkerNotice },
-    /// A worker names another limit from now on, or none.
+    /// A worker changed or removed its limit.
     LimitSet { worker: String, limit: Option<f64>, at: Instant },
-    /// A gateway was killed, frozen or started, or its links were cut; what it was told before is
-    /// excused.
+    /// A gateway was killed, suspended or started, or its links were partitioned. Notices that it
+    /// received before are no longer checked.
     Disturbed { gateway: usize, at: Instant },
 }
 
-/// One request that came.
+/// One request that arrived.
 struct Arrival<'a> {
     worker: &'a str,
     gateway: usize,
@@ -69,7 +69,7 @@
     })
 }
 
-/// What gateways sent although they had been told not to.
+/// Returns a message for each notice that a gateway violated.
 pub fn find_notice_breaches(events: &[NoticeEvent]) -> Vec<String> {
     let arrivals = arrivals(events);
     let mut breaches = Vec::new();
@@ -86,21 +86,24 @@
                 since.iter().filter(|one| **one > IN_FLIGHT_TIME && **one < backoff).count();
             if during_backoff > MAX_DURING_BACKOFF {
                 breaches.push(format!(
-                    "{worker} asked gateway {gateway} for {backoff:?} and got {during_backoff} requests"
+                    "{worker} asked gateway {gateway} for a backoff of {backoff:?} and got {during_backoff} requests"
                 ));
             }
         }
-        // A request that was turned away does not count: nothing of its answer is passed on.
+        // A leaving notice in a rejection does not count: the gateway passes on nothing from a
+        // rejection.
         let passed_on = notice_arrival.notice.leaving && notice_arrival.notice.backoff.is_none();
         let late = since.iter().filter(|one| **one > DRAIN_TIME).count();
         if passed_on && late > 0 {
-            breaches.push(format!("{worker} told gateway {gateway} that it leaves and got {late}"));
+            breaches.push(format!(
+                "{worker} notified gateway {gateway} that it is leaving and got {late} requests"
+            ));
         }
     }
     breaches
 }
 
-/// A record: what came to which worker by which gateway, with the worker's word, or (none) that the
+/// Entries of a record: time in milliseconds, gateway, and the worker's notice, or `None` if the
 /// gateway was disturbed.
 type Record<'a> = &'a [(u64, usize, Option<WorkerNotice>)];
 
--- a/tests/platform/observer.rs
+++ b/tests/platform/observer.rs
@@ -1,4 +1,4 @@
-//! Callers and operators of a soak, and what they saw that must not be.
+//! Callers and operators of a soak run. They record violated invariants.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -22,23 +22,24 @@
 const CHANGE_PAUSE: Duration = Duration::from_millis(250);
 /// Pause between two requests for routes that changes have added.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
-/// Time after its acknowledgement in which a change has to be in force, or not to be denied.
+/// Time after the acknowledgement of a change from which on no gateway may deny the route that it
+/// adds.
 const IN_FORCE_DEADLINE: Duration = Duration::from_millis(2000);
-/// Pause between two reads of it.
+/// Pause between two reads of the configuration.
 const READ_PAUSE: Duration = Duration::from_millis(120);
 
-/// What callers and operators saw.
+/// Records of what callers and operators observed.
 #[derive(Default)]
 pub struct Observer {
     breaches: Mutex<Vec<String>>,
-    /// Requests that may run once, and were told to have not run.
+    /// Non-idempotent requests that were answered as not run.
     refused: Mutex<Vec<String>>,
-    /// Every configuration that was sent, by version.
+    /// Configurations that were sent, by version.
     sent: Mutex<BTreeMap<u64, Value>>,
     acknowledged: AtomicU64,
     /// Changes that were acknowledged.
     changes: AtomicU64,
-    /// When each of them was.
+    /// Acknowledged versions with the time of acknowledgement.
     acknowledged_at: Mutex<Vec<(u64, Instant)>>,
     served: AtomicU64,
     ended: AtomicBool,
@@ -49,22 +50,22 @@
         Arc::default()
     }
 
-    /// Requests that were answered with success.
+    /// Returns the number of requests that were answered with 200.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
-    /// Highest version that was acknowledged.
+    /// Returns the highest acknowledged version.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// Number of changes that were acknowledged.
+    /// Returns the number of acknowledged changes.
     pub fn changes(&self) -> u64 {
         self.changes.load(Ordering::SeqCst)
     }
 
-    /// Has load and changes stop.
+    /// Stops load, probes, changes and reads.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
     }
@@ -77,12 +78,12 @@
         lock(&self.breaches).push(breach);
     }
 
-    /// Everything that must not be, with what the workers counted.
+    /// Returns all violated invariants, including those found in the records of the workers.
     pub fn breaches(&self, fleet: &Fleet) -> Vec<String> {
         let mut breaches = lock(&self.breaches).clone();
         breaches.extend(fleet.breaches());
         for id in lock(&self.refused).iter().filter(|id| fleet.runs(id) > 0) {
-            breaches.push(format!("{id} was told not to have run, and ran"));
+            breaches.push(format!("{id} was reported as not run, and ran"));
         }
         for (id, runs) in fleet.all_runs() {
             if id.starts_with("hold") && runs > 1 {
@@ -92,26 +93,26 @@
         breaches
     }
 
-    /// Notes a configuration that goes out, or may have.
+    /// Records a configuration before it is sent.
     pub fn record_sent(&self, version: u64, content: &Value) {
         lock(&self.sent).insert(version, content.clone());
     }
 
-    /// Notes that a version was acknowledged.
+    /// Records that a version was acknowledged.
     pub fn record_acknowledged(&self, version: u64) {
         self.acknowledged.fetch_max(version, Ordering::SeqCst);
         lock(&self.acknowledged_at).push((version, Instant::now()));
         self.changes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// The newest version that has to be in force; none before the first.
+    /// Returns the newest version that must be in force, or `None` before the first.
     fn in_force(&self) -> Option<u64> {
         let acknowledged = lock(&self.acknowledged_at);
         let due = acknowledged.iter().filter(|(_, at)| at.elapsed() > IN_FORCE_DEADLINE);
         due.map(|(version, _)| *version).max()
     }
 
-    /// Checks what was read after a version had been acknowledged.
+    /// Checks a configuration that was read after the version `before` had been acknowledged.
     pub fn check_read(&self, before: u64, read: &Value) {
         let version = read["version"].as_u64().unwrap_or_default();
         if version < before {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Checks one answer.
+    /// Checks one answer against the expected body and status.
     fn check_answer(&self, id: &str, stream: &str, answer: &Response<Bytes>) {
         let status = answer.status().as_u16();
         let body = String::from_utf8_lossy(answer.body());
@@ -147,7 +148,7 @@
     mutex.lock().expect("not poisoned")
 }
 
-/// Sends requests to all gateways in turn until the observer ends.
+/// Sends requests to all gateways in turn until the observer is stopped.
 pub async fn send_load(observer: Arc<Observer>, gateways: Vec<String>, stream: String) {
     let stream: Arc<str> = stream.into();
     let mut number = 0usize;
@@ -170,7 +171,8 @@
     futures_util::future::join_all(calls).await;
 }
 
-/// Changes the configuration again and again, at whichever controller, until the observer ends.
+/// Sends configuration changes, each at a randomly chosen controller first, until the observer is
+/// stopped.
 pub async fn send_changes(observer: Arc<Observer>, controllers: Vec<String>, first: u64) {
     let mut version = first;
     let mut added = Vec::new();
@@ -196,9 +198,9 @@
     }
 }
 
-/// Asks gateways in turn for the route that the newest change has added that has to be in force.
+/// Requests, at all gateways in turn, the newest added route that must be in force.
 ///
-/// They may be cut off or have just started: then they cannot know, and say so.
+/// A gateway that is partitioned or has just started may answer that it does not know.
 pub async fn probe_routes(observer: Arc<Observer>, gateways: Vec<String>, first: u64) {
     let mut number = 0;
     while !observer.has_ended() {
@@ -215,14 +217,12 @@
             continue;
         };
         if matches!(answer.status().as_u16(), 401 | 404) {
-            observer.report(format!(
-                "gateway {gateway} says that the route of version {version} does not exist"
-            ));
+            observer.report(format!("gateway {gateway} denies the route of version {version}"));
         }
     }
 }
 
-/// Reads the configuration at one controller after the other until the observer ends.
+/// Reads the configuration at one controller after the other until the observer is stopped.
 pub async fn read_changes(observer: Arc<Observer>, controllers: Vec<String>) {
     let mut number = 0;
     while !observer.has_ended() {
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -1,14 +1,16 @@
-//! Disturbances at random over real processes, with proxies between them and signals.
+//! Random disturbances of real processes, by signals and by proxies on the links between daemons.
 //!
-//! Whatever comes, callers get their own whole answers, what may run once runs once, what was told
-//! not to have run has not, no replica serves without each member, no worker is in two, and no
-//! acknowledged configuration is lost or shown older, and no gateway says that an acknowledged route
-//! does not exist. Afterwards each gateway comes to what was
-//! acknowledged while changes go on, and everything serves again.
+//! The run checks that under any disturbance each caller gets only its own complete answer, that a
+//! non-idempotent request runs at most once, that a request reported as not run did not run, that
+//! no replica serves without each of its members, that no worker is in two replicas, that no
+//! acknowledged configuration is lost or replaced by an older one in a read, and that no gateway
+//! denies the existence of an acknowledged route. After the disturbances, while configuration
+//! changes continue, each gateway must reach the acknowledged configuration, and all routes must be
+//! served again.
 //!
-//! CI plays a few seeds. `HOLLOWBARROW_SOAK_RUNS=50` draws so many fresh ones, and
-//! `HOLLOWBARROW_SOAK_SEED=N` plays one again; `HOLLOWBARROW_SOAK_GATEWAYS=120` has them played
-//! with so many gateways (at most 200), for which a release build is needed.
+//! CI runs a few fixed seeds. `HOLLOWBARROW_SOAK_RUNS=50` runs that number of fresh seeds, and
+//! `HOLLOWBARROW_SOAK_SEED=N` runs one given seed. `HOLLOWBARROW_SOAK_GATEWAYS=120` sets the number
+//! of gateways for both (at most 200); such large runs need a release build.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,63 +30,65 @@
 };
 use crate::worker::{CRASHING_BODY, Worker};
 
-/// Variable with the number of fresh seeds to play.
+/// Environment variable with the number of fresh seeds to run.
 const RUNS: &str = "HOLLOWBARROW_SOAK_RUNS";
-/// Variable with the one seed to play.
+/// Environment variable with a single seed to run.
 const SEED: &str = "HOLLOWBARROW_SOAK_SEED";
-/// Variable with the number of gateways of fresh seeds.
+/// Environment variable with the number of gateways.
 const GATEWAYS: &str = "HOLLOWBARROW_SOAK_GATEWAYS";
-/// Most gateways that the addresses of one system have room for.
+/// Highest number of gateways that fits into the address range of one system.
 const MAX_GATEWAYS: u64 = 200;
-/// First block of addresses of the soak's systems.
+/// First address block of the soak's systems.
 const FIRST_BLOCK: u8 = 100;
-/// Engine workers of each zone.
+/// Number of engine workers in each zone.
 const ENGINES: usize = 5;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Version of the first configuration.
 const FIRST_VERSION: u64 = 3;
-/// Changes after the disturbances within which what was acknowledged before is in force; a daemon
-/// that has just been told to go on needs a few to be connected again.
+/// Number of changes after the disturbances within which every gateway must have the configuration
+/// acknowledged before. A daemon that has just been resumed needs a few changes until it is
+/// connected again.
 const MAX_CHANGES: u64 = 80;
-/// Pause between two looks at what a gateway holds.
+/// Interval between two polls of a gateway's configuration version.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay of a slow link.
 const LINK_DELAY: Duration = Duration::from_millis(250);
-/// Pause between two records of other writers, and two requests that end workers.
+/// Pause between two foreign records, and between two crashing requests.
 const FOREIGN_PAUSE: Duration = Duration::from_millis(150);
-/// Times that such a request comes.
+/// Number of times that a crashing request is sent.
 const CRASHING_REQUESTS: usize = 6;
-/// Time after the third end within which a request is known.
+/// Time after the third crash within which all gateways must have quarantined the request.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Copies that may be sent after that, at all gateways together.
+/// Number of duplicates that may be sent after that, over all gateways.
 const MAX_LATE: usize = 3;
-/// Copies of a burst of one, and requests that come in bursts.
+/// Duplicates in one burst, and number of distinct requests that are sent in bursts.
 const BURST_DUPLICATES: usize = 30;
 const BURST_REQUESTS: usize = 3;
-/// Time for which a worker that leaves goes on.
+/// Time for which a leaving worker still serves.
 const DRAIN_TIME: Duration = Duration::from_millis(600);
-/// The same for one of which controllers do not hear: longer than requests may still come to it.
+/// The same for a worker that does not report to controllers that it is leaving. It is longer than
+/// the time in which requests may still arrive.
 const UNREPORTED_DRAIN_TIME: Duration = Duration::from_millis(3500);
-/// Time for which a worker that turns requests away asks for none, a little more each time.
+/// Shortest backoff of a worker that rejects requests. Each disturbance adds up to two seconds.
 const BACKOFF: Duration = Duration::from_secs(1);
-/// Requests a second that workers name as their limit.
+/// Limits that workers state, in requests per second.
 const LIMITS: [&str; 4] = ["0.5", "2", "5", "12.5"];
-/// Time for which they do so beyond the length of the disturbance: limits have to be kept only a
-/// while after they were named, and over windows of some length.
+/// Time for which a limit is stated beyond the duration of the disturbance. Limits are checked only
+/// some time after they were first stated, and over windows of several seconds.
 const LIMITED_TIME: Duration = Duration::from_secs(6);
 
-/// A system, its workers and what was done to them.
+/// A system, its workers and the state of the disturbances.
 struct Soak {
     system: System,
     fleet: Arc<Fleet>,
     engines: Vec<(Arc<Worker>, &'static str)>,
     plain: Vec<Arc<Worker>>,
     started_engines: usize,
-    /// The controller whose disk was lost, until it votes again.
+    /// Controller whose disk was lost last. No other disk may be lost until it is a voter again.
     wiped: Option<usize>,
-    /// Daemons that are down, standing still or ending, each under one disturbance.
+    /// Daemons that are stopped, suspended or terminating, each under one disturbance.
     down: Vec<usize>,
-    /// When all daemons lost power, and with it what they knew of requests that end workers.
+    /// Time of the power loss, at which all daemons lost their records of crashing requests.
     power_lost_at: Option<Instant>,
 }
 
@@ -127,7 +131,8 @@
         self.engines[index] = (worker, zone);
     }
 
-    /// Begins a disturbance; false where it cannot be borne now, or meets one of the same daemon.
+    /// Begins a disturbance. Returns false if the system cannot tolerate it now or if it overlaps
+    /// another one of the same daemon.
     fn begin(&mut self, disturbance: &Disturbance) -> bool {
         let daemon = disturbance.first % self.system.daemon_count();
         let controller = disturbance.first % CONTROLLERS;
@@ -184,7 +189,7 @@
             DisturbanceKind::RestartWorkerAtOnce if worker.is_stopped() => false,
             DisturbanceKind::RestartWorkerAtOnce => {
                 worker.kill();
-                // Its port may not be free yet.
+                // The old port may still be in use.
                 let next = worker.start_next_instance(true);
                 let index = disturbance.first % self.engines.len();
                 self.engines[index].0 = next;
@@ -221,7 +226,7 @@
         }
     }
 
-    /// Ends a disturbance that was begun.
+    /// Ends a disturbance that has begun.
     async fn end(&mut self, disturbance: &Disturbance) {
         let daemon = disturbance.first % self.system.daemon_count();
         let controller = disturbance.first % CONTROLLERS;
@@ -262,7 +267,7 @@
             }
             DisturbanceKind::RestartWorker => {
                 let worker = &self.engines[index].0;
-                // Another disturbance may have replaced it meanwhile.
+                // Another disturbance may have replaced it already.
                 if worker.is_stopped() {
                     let moved = disturbance.second % 2 == 1;
                     self.engines[index].0 = worker.start_next_instance(moved);
@@ -278,7 +283,7 @@
         }
     }
 
-    /// The engine or plain worker that is chosen.
+    /// Returns the engine or plain worker that the disturbance selects.
     fn worker(&self, disturbance: &Disturbance) -> &Arc<Worker> {
         let index = disturbance.first % (self.engines.len() + self.plain.len());
         match self.engines.get(index) {
@@ -287,13 +292,15 @@
         }
     }
 
-    /// Whether no other disk is lost, or the one that was votes again.
+    /// Returns whether all disks are intact again: none was lost, or the controller that lost its
+    /// disk is a voter again.
     fn can_lose_disk(&self) -> bool {
         let recovered = |wiped| !self.down.contains(&wiped) && self.system.is_voter(wiped);
         self.wiped.is_none_or(recovered)
     }
 
-    /// Notes that a daemon is disturbed, which excuses it if it is a gateway.
+    /// Records a disturbance of a daemon. The checks of workers' notices excuse a disturbed
+    /// gateway.
     fn record_disturbed(&self, daemon: usize) {
         if let Some(gateway) = daemon.checked_sub(CONTROLLERS) {
             self.fleet.record_notice_event(NoticeEvent::Disturbed { gateway, at: Instant::now() });
@@ -336,7 +343,7 @@
         true
     }
 
-    /// Plays the disturbances of a seed, each from its beginning to its end.
+    /// Runs the disturbances of a seed, each from its start to its end.
     async fn disturb(&mut self, seed: u64) {
         let start = Instant::now();
         let mut waiting = draw_disturbances(seed);
@@ -344,7 +351,8 @@
         while !waiting.is_empty() || !running.is_empty() {
             let begins = waiting.first().map(|disturbance| start + disturbance.at);
             let ends = running.iter().map(|(end, _)| *end).min();
-            let next = begins.into_iter().chain(ends).min().expect("something is left");
+            let next =
+                begins.into_iter().chain(ends).min().expect("a disturbance is waiting or running");
             tokio::time::sleep_until(next).await;
             if begins == Some(next) {
                 let disturbance = waiting.remove(0);
@@ -360,7 +368,7 @@
         }
     }
 
-    /// Checks that each gateway comes to what was acknowledged while changes go on.
+    /// Checks that each gateway reaches the acknowledged configuration while changes continue.
     async fn check_in_force(&self, observer: &Observer) {
         let (acknowledged, before) = (observer.acknowledged(), observer.changes());
         for gateway in 0..self.system.gateways.len() {
@@ -379,7 +387,7 @@
         }
     }
 
-    /// Waits until every gateway serves, and checks the configuration.
+    /// Waits until every gateway serves both routes, and checks the configuration.
     async fn check_recovered(&self, observer: &Observer) {
         self.system.wait_ready().await;
         for gateway in 0..self.system.gateways.len() {
@@ -393,7 +401,7 @@
     }
 }
 
-/// For how long a disturbance lasts.
+/// Returns the duration of a disturbance, with the time that its effect needs to be checked.
 fn duration_of(disturbance: &Disturbance) -> Duration {
     match disturbance.kind {
         DisturbanceKind::LeaveUnreported => disturbance.duration + UNREPORTED_DRAIN_TIME,
@@ -402,7 +410,7 @@
     }
 }
 
-/// Sends what other writers say under a worker's id to all controllers.
+/// Sends foreign records with a worker's id to all controllers.
 async fn send_foreign(id: String, controllers: Vec<String>) {
     for record in foreign_records() {
         for controller in &controllers {
@@ -412,18 +420,19 @@
     }
 }
 
-/// Sends a request that ends the workers it runs on to one gateway after the other.
+/// Sends a request that crashes the workers that run it to one gateway after the other.
 async fn send_crashing(number: usize, gateways: Vec<String>) {
     for retry in 0..CRASHING_REQUESTS {
         let gateway = &gateways[(number + retry) % gateways.len()];
         let id = format!("ending-{number}-{retry}");
-        // What comes of it shows in the workers that end.
+        // The check counts crashed workers; the answer does not matter.
         let _ = call_gateway_with_body(gateway, "/chat/1", &id, Some(KEY), CRASHING_BODY).await;
         tokio::time::sleep(FOREIGN_PAUSE).await;
     }
 }
 
-/// Sends many copies of a request that ends the workers it runs on, to all gateways at once.
+/// Sends many duplicates of a request that crashes the workers that run it, to all gateways at
+/// once.
 async fn send_crashing_burst(number: usize, gateways: Vec<String>) {
     let path = format!("/chat/{}", number % BURST_REQUESTS);
     let duplicates = (0..BURST_DUPLICATES).map(|duplicate| {
@@ -431,14 +440,15 @@
         let (gateway, path) = (&gateways[duplicate % gateways.len()], &path);
         async move { call_gateway_with_body(gateway, path, &id, Some(KEY), CRASHING_BODY).await }
     });
-    // What comes of them shows in the workers that end.
+    // The check counts crashed workers; the answers do not matter.
     let _ = futures_util::future::join_all(duplicates).await;
 }
 
-/// Copies of each request that ends workers, by path, that were sent later than 3 s after the third
-/// worker had ended under it, and how many ended in all.
+/// Counts for each path of a crashing request the duplicates that ran later than 3 s after its
+/// third crash, and the crashes.
 ///
-/// Before and after a loss of all power each for itself: nobody is left then who remembers.
+/// Counts before and after a power loss separately and returns the larger pair, since the power
+/// loss erases the records of crashing requests.
 fn late_duplicates(
     fleet: &Fleet,
     power_lost_at: Option<Instant>,
@@ -462,7 +472,7 @@
     paths.iter().map(|path| (path.clone(), most_late(path))).collect()
 }
 
-/// Plays one seed; says what must not be.
+/// Runs one seed and returns the violated invariants.
 async fn run_seed(seed: u64, block: u8, layout: Layout) -> Vec<String> {
     println!("soak seed {seed}, disturbed for {} s", DISTURBED_TIME.as_secs());
     let mut soak = Soak::start(block, layout);
@@ -483,7 +493,7 @@
     soak.check_in_force(&observer).await;
     observer.end();
     for task in [load, probes, changes, reads] {
-        task.await.expect("the observer does not fail");
+        task.await.expect("the observer task does not panic");
     }
     soak.check_recovered(&observer).await;
     println!("seed {seed}: {} served, version {}", observer.served(), observer.acknowledged());
@@ -504,10 +514,11 @@
 #[case(1, 0)]
 #[case(2, 1)]
 #[case(3, 2)]
-// The chats of the load are all alike. They were held for two minutes after heads had ended one
-// after the other, under requests that end them.
+// All chat requests of the load are equal. They were quarantined for two minutes after heads had
+// crashed one after the other, under other requests that crash workers.
 #[case(945_052_094_664, 3)]
-// They were held by one gateway that had just started, though the leader had let them go.
+// The chat requests stayed quarantined at one gateway that had just started, although the leader
+// had released them.
 #[case(249_868_691_895, 4)]
 #[tokio::test]
 async fn soak_keeps_guarantees(#[case] seed: u64, #[case] block: u8) {
@@ -515,7 +526,7 @@
     assert_eq!(breaches, Vec::<String>::new(), "seed {seed}");
 }
 
-/// Fresh seeds, by hand; without the variables nothing is played.
+/// Runs fresh seeds on demand. Runs nothing without the environment variables.
 #[rstest]
 #[tokio::test]
 async fn soak_fresh_seeds() {
@@ -527,7 +538,8 @@
     };
     let mut layout = Layout::zoned_behind_proxies();
     if let Some(gateways) = number(GATEWAYS) {
-        layout.gateways = u8::try_from(gateways.min(MAX_GATEWAYS)).expect("it is bounded");
+        layout.gateways = u8::try_from(gateways.min(MAX_GATEWAYS))
+            .expect("the gateway count is at most MAX_GATEWAYS");
     }
     let mut failed = Vec::new();
     for (number, seed) in seeds.iter().enumerate() {
--- a/tests/platform/system.rs
+++ b/tests/platform/system.rs
@@ -1,4 +1,4 @@
-//! Controllers and gateways as real processes on addresses of the loopback range.
+//! Runs controllers and gateways as real processes on addresses of the loopback range.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -14,45 +14,49 @@
 use tempfile::TempDir;
 use tokio::time::Instant;
 
-/// Longest wait for anything that must happen.
+/// Timeout of every wait for a condition that must become true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 pub const HOST: &str = "camp.example";
 pub const KEY: &str = "key-of-family";
 
-/// Controllers of each system; they are the first daemons.
+/// Number of controllers of each system. Their daemon numbers come first.
 pub const CONTROLLERS: usize = 3;
 
-/// What a system consists of.
+/// Composition of a system.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
     /// Number of gateways.
     pub gateways: u8,
-    /// Whether each daemon is in a zone with one controller, and not all in one zone.
+    /// Whether the daemons are spread over three zones with one controller each, instead of sharing
+    /// one zone.
     pub zoned: bool,
-    /// Whether a proxy stands before each daemon's port for other daemons.
+    /// Whether a proxy runs in front of each daemon's mesh port.
     pub proxied: bool,
-    /// Controllers that the settings name, from the first on; they found the log.
+    /// Number of controllers that the settings name as seeds, counted from the first. The seeds
+    /// found the log.
     pub seeds: usize,
 }
 
 impl Layout {
-    /// Two gateways and the controllers in one zone, without proxies.
+    /// Returns two gateways and the controllers in one zone, without proxies.
     pub fn plain() -> Self {
         Self { gateways: 2, zoned: false, proxied: false, seeds: CONTROLLERS }
     }
 
-    /// Each gateway in a zone with one controller, and a proxy on each link.
+    /// Returns three gateways, each in a zone with one controller, and a proxy in front of each
+    /// daemon.
     pub fn zoned_behind_proxies() -> Self {
         Self { gateways: 3, zoned: true, proxied: true, seeds: CONTROLLERS }
     }
 
-    /// Two gateways and the controllers in one zone, of which the settings name the first alone.
+    /// Returns two gateways and the controllers in one zone, with the first controller as the only
+    /// seed.
     pub fn with_one_seed() -> Self {
         Self { seeds: 1, ..Self::plain() }
     }
 
-    /// Zone of a daemon, by its number from 1 on.
+    /// Returns the zone of a daemon. Daemon numbers start at 1.
     fn zone(self, number: u8) -> &'static str {
         let zones = ["a", "b", "c"];
         let index = if self.zoned { usize::from(number - 1) % CONTROLLERS } else { 0 };
@@ -60,16 +64,16 @@
     }
 }
 
-/// A signal that a process may get.
+/// A signal sent to a daemon process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Ends at once.
+    /// Terminates the process immediately.
     Kill,
-    /// Ends as planned.
+    /// Asks the process to shut down.
     Terminate,
-    /// Stands still.
+    /// Suspends the process.
     Stop,
-    /// Goes on.
+    /// Resumes a suspended process.
     Continue,
 }
 
@@ -84,12 +88,12 @@
     }
 }
 
-/// One process.
+/// One daemon process.
 struct Daemon {
     role: &'static str,
     settings: PathBuf,
     log: PathBuf,
-    /// Length of the log when the process was last started.
+    /// Length of the log file when the process was last started.
     log_start: usize,
     child: Option<Child>,
 }
@@ -97,13 +101,13 @@
 impl Daemon {
     fn start(&mut self) {
         let written = std::fs::metadata(&self.log).map_or(0, |metadata| metadata.len());
-        self.log_start = usize::try_from(written).expect("a log fits into memory");
+        self.log_start = usize::try_from(written).expect("the log length fits into usize");
         let log = std::fs::File::options().create(true).append(true).open(&self.log);
         let child = Command::new(env!("CARGO_BIN_EXE_hollowbarrow"))
             .arg(self.role)
             .arg("--settings")
             .arg(&self.settings)
-            .stderr(log.expect("the log can be written"))
+            .stderr(log.expect("the log file can be opened"))
             .stdout(Stdio::null())
             .spawn();
         self.child = Some(child.expect("the binary starts"));
@@ -120,7 +124,7 @@
         let Some(child) = &self.child else { return };
         let kill = format!("kill -{} {}", signal.name(), child.id());
         let status = Command::new("sh").arg("-c").arg(kill).stderr(Stdio::null()).status();
-        status.expect("a shell runs");
+        status.expect("the shell can be started");
     }
 
     fn is_running(&mut self) -> bool {
@@ -129,34 +133,37 @@
     }
 }
 
-/// A whole system.
+/// A complete system of daemon processes.
 pub struct System {
     daemons: Vec<Daemon>,
     pub controllers: Vec<String>,
     pub gateways: Vec<String>,
     readiness: Vec<String>,
     metrics: Vec<String>,
-    /// Proxies before the daemons, by where each is bound; none without proxies.
+    /// Proxies in front of the daemons, each with the address that its daemon binds. Empty without
+    /// proxies.
     links: Vec<(IpAddr, LinkProxy)>,
     _folder: TempDir,
 }
 
-/// Ports that are free, each another one: drawn one by one, two may be the same.
+/// Returns distinct free ports. All listeners stay bound until the last port is drawn, since two
+/// draws one after the other can return the same port.
 pub fn free_ports<const COUNT: usize>() -> [u16; COUNT] {
     let listeners: [TcpListener; COUNT] =
-        std::array::from_fn(|_| TcpListener::bind("127.0.0.1:0").expect("a port is free"));
-    listeners.map(|listener| listener.local_addr().expect("it is bound").port())
+        std::array::from_fn(|_| TcpListener::bind("127.0.0.1:0").expect("a free port exists"));
+    listeners.map(|listener| listener.local_addr().expect("the listener is bound").port())
 }
 
 impl System {
-    /// Starts three controllers and two gateways; `block` keeps tests that run at once apart.
+    /// Starts three controllers and two gateways. `block` selects the address range, so that
+    /// concurrent tests do not share addresses.
     pub fn start(block: u8) -> Self {
         Self::start_with(block, Layout::plain())
     }
 
-    /// Starts three controllers and gateways.
+    /// Starts three controllers and the gateways of a layout.
     pub fn start_with(block: u8, layout: Layout) -> Self {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary directory can be created");
         let [mesh, control, callers, ready, metrics_port] = free_ports();
         let ip = |number: u8| format!("127.77.{block}.{number}");
         let bind_ip = |number: u8| format!("127.78.{block}.{number}");
@@ -175,7 +182,7 @@
                 "metrics": metrics[usize::from(number) - 1], "cluster_keys": ["test"], "heartbeat_ms": 200, "found": true});
             if layout.proxied {
                 settings["bind_ip"] = json!(bind_ip(number));
-                let at = |ip: String| format!("{ip}:{mesh}").parse().expect("an address");
+                let at = |ip: String| format!("{ip}:{mesh}").parse().expect("the address is valid");
                 let (front, target): (SocketAddr, SocketAddr) =
                     (at(ip(number)), at(bind_ip(number)));
                 links.push((target.ip(), LinkProxy::start(front, target, number.into())));
@@ -202,7 +209,7 @@
         Self { daemons, controllers, gateways, readiness, metrics, links, _folder: folder }
     }
 
-    /// Number of daemons; the controllers come first.
+    /// Returns the number of daemons. The controllers come first.
     pub fn daemon_count(&self) -> usize {
         self.daemons.len()
     }
@@ -212,14 +219,14 @@
         self.daemons[daemon].signal(signal);
     }
 
-    /// Has a daemon's process go on, or starts it again if it has ended. `ending` says that it was
-    /// killed or told to end, which may take a while: one that was looked at too early counted as
-    /// running and was never started again.
+    /// Resumes a daemon's process, or starts it again if it has exited. `terminating` states that
+    /// it was sent a signal to terminate; the call then waits for the exit first, because a process
+    /// that is still shutting down counts as running and would not be started again.
     pub async fn resume_or_restart(&mut self, daemon: usize, terminating: bool) {
         self.signal(daemon, Signal::Continue);
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while terminating && self.daemons[daemon].is_running() {
-            assert!(Instant::now() < deadline, "daemon {daemon} does not end: {}", self.logs());
+            assert!(Instant::now() < deadline, "daemon {daemon} does not exit: {}", self.logs());
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         if !self.daemons[daemon].is_running() {
@@ -228,7 +235,7 @@
         }
     }
 
-    /// Changes what becomes of what one daemon sends to another.
+    /// Sets the fault mode of the traffic from one daemon to another.
     pub fn set_link(&self, from: usize, to: usize, mode: FaultMode) {
         let (source, _) = self.links[from];
         self.links[to].1.set_mode(source, mode);
@@ -239,7 +246,7 @@
         self.daemons[index].kill();
     }
 
-    /// Has every daemon end at once and start again, those with a number here with an empty disk.
+    /// Kills every daemon and starts it again. The daemons in `wiped` start with an empty disk.
     pub fn lose_power(&mut self, wiped: &[usize]) {
         self.daemons.iter_mut().for_each(Daemon::kill);
         for index in 0..self.daemons.len() {
@@ -247,20 +254,21 @@
         }
     }
 
-    /// Starts a controller again; its disk is as it was, or empty.
+    /// Starts a controller again, with its data or with an empty disk.
     pub fn restart_controller(&mut self, index: usize, wiped: bool) {
         self.restart(index, wiped);
     }
 
     fn restart(&mut self, index: usize, wiped: bool) {
         let daemon = &mut self.daemons[index];
-        // A process that was killed may take a while to end, and holds its ports until then.
+        // A killed process holds its ports until it has exited.
         daemon.kill();
         let text = std::fs::read_to_string(&daemon.settings).expect("settings can be read");
         let mut settings: Value = serde_json::from_str(&text).expect("settings are JSON");
         settings["found"] = json!(false);
         if wiped {
-            let data = settings["data"].as_str().expect("it has a folder").to_owned();
+            let data =
+                settings["data"].as_str().expect("the settings name a data directory").to_owned();
             if let Err(error) = std::fs::remove_dir_all(data) {
                 assert_eq!(error.kind(), std::io::ErrorKind::NotFound, "{error}");
             }
@@ -269,8 +277,8 @@
         daemon.start();
     }
 
-    /// Whether a controller says that it votes, with a disk that holds what it should, since it
-    /// was last started.
+    /// Returns whether a controller, since its last start, has logged that it is a voter with
+    /// complete storage.
     pub fn is_voter(&self, index: usize) -> bool {
         let daemon = &self.daemons[index];
         let log = std::fs::read_to_string(&daemon.log).unwrap_or_default();
@@ -282,30 +290,31 @@
         })
     }
 
-    /// The page of metrics of a daemon.
+    /// Returns the metrics page of a daemon.
     pub async fn metrics(&self, daemon: usize) -> String {
-        self.try_metrics(daemon).await.expect("it is shown")
+        self.try_metrics(daemon).await.expect("the metrics page is served")
     }
 
-    /// The page of metrics of a daemon, unless it has just been started.
+    /// Returns the metrics page of a daemon, or `None` while the daemon does not answer.
     async fn try_metrics(&self, daemon: usize) -> Option<String> {
         let address = &self.metrics[daemon];
         let request = Request::builder()
             .uri("/metrics")
             .header("host", address)
             .body(Full::new(Bytes::new()))
-            .expect("sound");
+            .expect("the request is valid");
         let answer = call_once(address, request, CALL_TIMEOUT).await.ok()?;
         Some(String::from_utf8_lossy(answer.body()).into_owned())
     }
 
-    /// Whether a daemon shows a line of metrics, given without the product's name.
+    /// Returns whether the metrics page of a daemon contains a line, given without the product
+    /// prefix.
     pub async fn has_metric(&self, daemon: usize, line: &str) -> bool {
         let metrics = self.try_metrics(daemon).await.unwrap_or_default();
         metrics.lines().any(|shown| shown.strip_prefix("hollowbarrow_") == Some(line))
     }
 
-    /// Version of the configuration that a gateway holds; 0 means none, or no gateway yet.
+    /// Returns the configuration version that a gateway uses; 0 if it has none or does not answer.
     pub async fn version_at(&self, gateway: usize) -> u64 {
         let name = "hollowbarrow_gateway_configuration_version ";
         let metrics = self.try_metrics(CONTROLLERS + gateway).await.unwrap_or_default();
@@ -313,13 +322,14 @@
         version.unwrap_or(0)
     }
 
-    /// Log of all daemons, for a failure's message.
+    /// Returns the logs of all daemons, for failure messages.
     pub fn logs(&self) -> String {
         let read = |daemon: &Daemon| std::fs::read_to_string(&daemon.log).unwrap_or_default();
         self.daemons.iter().map(read).collect::<Vec<_>>().join("\n----\n")
     }
 
-    /// Puts a configuration in force, at whichever controller takes it; the status of the last.
+    /// Replaces the configuration at the first controller that accepts or rejects it, and returns
+    /// the status of that answer.
     pub async fn replace(&self, configuration: &Value) -> u16 {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let body = Bytes::from(configuration.to_string());
@@ -330,12 +340,16 @@
                     return status;
                 }
             }
-            assert!(Instant::now() < deadline, "no controller takes it: {}", self.logs());
+            assert!(
+                Instant::now() < deadline,
+                "no controller accepts the configuration: {}",
+                self.logs()
+            );
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// The configuration that some controller is sure of.
+    /// Returns the configuration from the first controller that can confirm it.
     pub async fn fetch(&self) -> Value {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -344,12 +358,16 @@
                     return configuration;
                 }
             }
-            assert!(Instant::now() < deadline, "no controller tells it: {}", self.logs());
+            assert!(
+                Instant::now() < deadline,
+                "no controller confirms the configuration: {}",
+                self.logs()
+            );
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Waits until every gateway calls itself ready.
+    /// Waits until every gateway reports that it is ready.
     pub async fn wait_ready(&self) {
         for address in &self.readiness {
             let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -365,7 +383,7 @@
             .uri("/-/readyz")
             .header("host", address)
             .body(Full::new(Bytes::new()))
-            .expect("sound");
+            .expect("the request is valid");
         let answer = call_once(address, request, CALL_TIMEOUT).await;
         answer.map_or(0, |answer| answer.status().as_u16())
     }
@@ -381,7 +399,7 @@
         call_gateway(&self.gateways[gateway], path, id, key).await
     }
 
-    /// Sends a request with a body of its own to a gateway.
+    /// Sends a request with the given body to a gateway.
     pub async fn call_with_body(
         &self,
         gateway: usize,
@@ -393,13 +411,13 @@
         call_gateway_with_body(&self.gateways[gateway], path, id, key, body).await
     }
 
-    /// Sends requests to all gateways in turn until one is answered with 200; its body.
+    /// Sends requests to all gateways in turn until one is answered with 200, and returns its body.
     pub async fn call_until_served(&self, path: &str, name: &str) -> Bytes {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
         self.call_some_until_served(&all, path, name).await
     }
 
-    /// Sends requests to one gateway until one is answered with 200; its body.
+    /// Sends requests to one gateway until one is answered with 200, and returns its body.
     pub async fn call_gateway_until_served(&self, gateway: usize, path: &str, name: &str) -> Bytes {
         self.call_some_until_served(&[gateway], path, name).await
     }
@@ -422,28 +440,28 @@
     }
 }
 
-/// Puts a configuration in force at one controller; the status, or 0 without an answer.
+/// Replaces the configuration at one controller. Returns the status, or 0 without an answer.
 pub async fn replace_at(controller: &str, body: &Bytes) -> u16 {
     let request = Request::builder()
         .method(Method::POST)
         .uri("/-/config/replace")
         .header("host", controller)
         .body(Full::new(body.clone()))
-        .expect("sound");
+        .expect("the request is valid");
     let answer = call_once(controller, request, CALL_TIMEOUT).await;
     answer.map_or(0, |answer| answer.status().as_u16())
 }
 
-/// The configuration that one controller tells, if it is sure.
+/// Returns the configuration from one controller, if the controller can confirm it.
 pub async fn fetch_at(controller: &str) -> Option<Value> {
     let request = Request::builder()
         .uri("/-/config/fetch")
         .header("host", controller)
         .body(Full::new(Bytes::new()))
-        .expect("sound");
+        .expect("the request is valid");
     let answer = call_once(controller, request, CALL_TIMEOUT).await.ok()?;
     let confirmed = answer.status().as_u16() == 200;
-    confirmed.then(|| serde_json::from_slice(answer.body()).expect("it is JSON"))
+    confirmed.then(|| serde_json::from_slice(answer.body()).expect("the configuration is JSON"))
 }
 
 /// Sends a request to the gateway at an address.
@@ -456,7 +474,7 @@
     call_gateway_with_body(address, path, id, key, b"{}").await
 }
 
-/// Sends a request with a body of its own to the gateway at an address.
+/// Sends a request with the given body to the gateway at an address.
 pub async fn call_gateway_with_body(
     address: &str,
     path: &str,
@@ -475,7 +493,7 @@
     if let Some(key) = key {
         request = request.header("api-key", key);
     }
-    let request = request.body(Full::new(Bytes::from_static(body))).expect("sound");
+    let request = request.body(Full::new(Bytes::from_static(body))).expect("the request is valid");
     call_once(address, request, CALL_TIMEOUT).await
 }
 
@@ -485,7 +503,7 @@
     }
 }
 
-/// A configuration with a streaming route, a plain one and one tenant.
+/// Returns a configuration with a streaming route, a plain route and one tenant.
 pub fn configuration(version: u64) -> Value {
     json!({"version": version,
         "routes": [
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -1,4 +1,5 @@
-//! Stand-in workers that speak the platform's protocol: they register, take orders, and serve.
+//! Stand-in workers that speak the platform's protocol: they register, execute orders and serve
+//! requests.
 
 mod orders;
 
@@ -23,63 +24,63 @@
 use crate::fleet::{Fleet, Membership};
 use crate::notices::{NoticeEvent, WorkerNotice};
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 30;
 /// Pause between two events.
 const EVENT_PAUSE: Duration = Duration::from_millis(20);
 const HEARTBEAT: Duration = Duration::from_millis(200);
 const LIMITS: HttpLimits = HttpLimits { head_bytes: 16 << 10, idle: Duration::from_secs(15) };
 
-/// Body of a request that ends each worker that begins to run it.
+/// Body of a request that crashes each worker that runs it.
 pub const CRASHING_BODY: &[u8] = b"{\"ends\": \"worker\"}";
-/// Time for which such a request runs before its worker ends.
+/// Run time of a crashing request before its worker terminates.
 const CRASH_DELAY: Duration = Duration::from_millis(40);
-/// Time after which another life of such a worker comes.
+/// Delay after which a new worker replaces a crashed one.
 const RESTART_TIME: Duration = Duration::from_millis(600);
 
-/// Start of the first life of each worker that tells it, in Unix milliseconds.
+/// Start time of the first instance of each worker that reports it, in Unix milliseconds.
 pub const FIRST_START_MS: u64 = 1_764_720_000_000;
 
-/// Identity of a request that tells by which gateway it comes.
+/// Returns a request id that names the gateway through which the request is sent.
 pub fn request_id_via(gateway: usize, name: &str) -> String {
     format!("{name}-by{gateway}")
 }
 
-/// The gateway by which a request comes, where it tells.
+/// Returns the gateway through which a request was sent, if its id names one.
 fn gateway_of(request: &str) -> Option<usize> {
     request.rsplit_once("-by")?.1.parse().ok()
 }
 
-/// Bytes of one event of a stream.
+/// Returns one event of a stream.
 pub fn event(number: u64) -> String {
     format!("id: {number}\ndata: token {number}\n\n")
 }
 
-/// Time for which a head without a member stands still before it breaks off.
+/// Time for which a stream stalls at a head that lacks a member, before the stream is truncated.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How late a worker that leaves orders unanswered carries them out.
+/// Delay with which a worker executes orders that it leaves unanswered.
 const ORDER_DELAY: Duration = Duration::from_millis(900);
 
 #[derive(Default)]
 struct WorkerState {
     model: Option<String>,
     membership: Option<Membership>,
-    /// Highest epoch and fence seen in this life.
+    /// Highest epoch and fence seen by this instance.
     highest: (u64, u64),
 }
 
-/// A request that came to a worker.
+/// A request that arrived at a worker.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
-    /// For how long the worker asked for no more requests, where it turned this one away.
+    /// Backoff that the worker asked for when it rejected this request.
     pub backoff: Option<Duration>,
 }
 
-/// One worker.
+/// One instance of a stand-in worker.
 pub struct Worker {
     pub id: String,
-    /// Unix milliseconds of its start, where it tells that.
+    /// Start time in Unix milliseconds, if the worker reports it.
     start_ms: Option<u64>,
     address: String,
     service: &'static str,
@@ -87,27 +88,27 @@
     zone: &'static str,
     seq: AtomicU64,
     stopped: AtomicBool,
-    /// Whether controllers neither hear of it nor reach it.
+    /// Whether it is partitioned from controllers in both directions.
     partitioned: AtomicBool,
-    /// Whether it leaves orders unanswered and carries them out late.
+    /// Whether it leaves orders unanswered and executes them after a delay.
     late_orders: AtomicBool,
-    /// Whether it says that it leaves.
+    /// Whether it reports that it is leaving.
     leaving: AtomicBool,
-    /// Whether it leaves, and what it tells controllers does not say so yet.
+    /// Whether it is leaving, which its answers state but its heartbeats do not.
     leaving_unreported: AtomicBool,
-    /// Whether it has deregistered, and only serves on.
+    /// Whether it has deregistered. It still serves requests.
     deregistered: AtomicBool,
-    /// Whether its events come at half the usual rate.
+    /// Whether it streams events at half the usual rate.
     slow: AtomicBool,
-    /// Whether it runs requests without a word.
+    /// Whether it runs requests and never answers them.
     unresponsive: AtomicBool,
-    /// Time for which a plain worker works on a request.
+    /// Time that a plain worker takes for each request.
     service_time: Mutex<Duration>,
-    /// What it says to each request that it turns away, while it turns all away.
+    /// Backoff that it asks for in each answer while it rejects all requests.
     rejection_backoff: Mutex<Option<Duration>>,
-    /// The limit that it names in its answers, as it stands there.
+    /// The limit header of its answers, verbatim.
     limit: Mutex<Option<&'static str>>,
-    /// Requests that came, in order.
+    /// Requests that arrived, in order.
     arrivals: Mutex<Vec<Arrival>>,
     state: Mutex<WorkerState>,
     fleet: Arc<Fleet>,
@@ -115,7 +116,7 @@
 }
 
 impl Worker {
-    /// Starts a worker on a port of the kernel's choice.
+    /// Starts a worker in zone `a` on a port that the kernel chooses.
     pub fn start(fleet: &Arc<Fleet>, id: &str, service: &'static str, engine: bool) -> Arc<Self> {
         Self::start_in(fleet, id, service, engine, "a")
     }
@@ -131,7 +132,7 @@
         Self::start_instance(fleet, id, (service, engine, zone), None, "127.0.0.1:0")
     }
 
-    /// Starts one life of a worker at an address.
+    /// Starts one instance of a worker at an address.
     fn start_instance(
         fleet: &Arc<Fleet>,
         id: &str,
@@ -140,7 +141,7 @@
         address: &str,
     ) -> Arc<Self> {
         let listener = bind_http(address).expect("the port is free");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("the listener is bound").to_string();
         let (stop, stopped) = watch::channel(false);
         let worker = Arc::new(Self {
             id: id.to_owned(),
@@ -171,7 +172,7 @@
         worker
     }
 
-    /// Starts a worker that tells when it was born.
+    /// Starts a worker that reports its start time.
     pub fn start_with_start_time(
         fleet: &Arc<Fleet>,
         id: &str,
@@ -188,15 +189,15 @@
         )
     }
 
-    /// Ends the worker without a word and starts it again under its id after a while, at the same
-    /// address or another one; it then knows nothing of before.
+    /// Kills the worker and, after a delay, starts a new instance with the same id, at the same
+    /// address or another one. The new instance keeps no state.
     pub async fn restart_after(&self, after: Duration, moved: bool) -> Arc<Self> {
         self.kill();
         tokio::time::sleep(after).await;
         self.start_next_instance(moved)
     }
 
-    /// Starts the next life of a worker that has ended.
+    /// Starts the next instance of a worker that was killed.
     pub fn start_next_instance(&self, moved: bool) -> Arc<Self> {
         if let Some(epoch) = self.epoch() {
             self.fleet.record_left(epoch, &self.id);
@@ -208,17 +209,17 @@
         Self::start_instance(&self.fleet, &self.id, kind, start_ms, address)
     }
 
-    /// Heartbeats that this life has sent.
+    /// Returns the number of heartbeats that this instance has sent.
     pub fn heartbeats_sent(&self) -> u64 {
         self.seq.load(Ordering::Relaxed)
     }
 
-    /// Epoch of its replica, if it is a member of one.
+    /// Returns the epoch of its replica, if it is a member of one.
     pub fn epoch(&self) -> Option<u64> {
         self.lock().membership.as_ref().map(|membership| membership.epoch)
     }
 
-    /// Ends the worker without a word; its replica stands still.
+    /// Terminates the worker without notice. Its replica stalls.
     pub fn kill(&self) {
         self.stopped.store(true, Ordering::Relaxed);
         self.fleet.record_stopped(&self.id);
@@ -226,7 +227,7 @@
         self.stop.send_replace(true);
     }
 
-    /// Ends under a request; another life comes after a while.
+    /// Terminates the worker while it runs a request, and starts another worker after a delay.
     async fn crash_under_request(self: Arc<Self>, path: String) {
         tokio::time::sleep(CRASH_DELAY).await;
         if self.is_stopped() {
@@ -239,47 +240,47 @@
         Self::start_in(&self.fleet, &id, self.service, self.engine, self.zone);
     }
 
-    /// Whether controllers neither hear of it nor reach it.
+    /// Sets whether the worker is partitioned from controllers in both directions.
     pub fn set_partitioned(&self, partitioned: bool) {
         self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    /// Whether it leaves orders unanswered and carries them out late.
+    /// Sets whether it leaves orders unanswered and executes them after a delay.
     pub fn set_late_orders(&self, late_orders: bool) {
         self.late_orders.store(late_orders, Ordering::Relaxed);
     }
 
-    /// Says from now on that it leaves.
+    /// Reports from now on that it is leaving.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Leaves from now on, while controllers still hear what it said before.
+    /// Reports from now on in its answers, but not in its heartbeats, that it is leaving.
     pub fn leave_unreported(&self) {
         self.leaving_unreported.store(true, Ordering::Relaxed);
     }
 
-    /// Has its events come at half the usual rate.
+    /// Streams events at half the usual rate from now on.
     pub fn set_slow(&self) {
         self.slow.store(true, Ordering::Relaxed);
     }
 
-    /// Has it run requests and never answer them.
+    /// Runs requests without answering them from now on.
     pub fn set_unresponsive(&self) {
         self.unresponsive.store(true, Ordering::Relaxed);
     }
 
-    /// Has a plain worker take this time for each request.
+    /// Sets the time that a plain worker takes for each request.
     pub fn set_service_time(&self, service_time: Duration) {
         *self.service_time.lock().expect("not poisoned") = service_time;
     }
 
-    /// Has it turn all requests away and ask for no more for this time, or serve again.
+    /// Rejects all requests with this backoff, or with `None` serves requests again.
     pub fn set_rejecting(&self, backoff: Option<Duration>) {
         *self.rejection_backoff.lock().expect("not poisoned") = backoff;
     }
 
-    /// Has it name a limit in all its answers, or none.
+    /// Sets or removes the limit that its answers state.
     pub fn set_limit(&self, limit: Option<&'static str>) {
         *self.limit.lock().expect("not poisoned") = limit;
         let (worker, limit) = (self.instance_name(), limit.and_then(|text| text.parse().ok()));
@@ -290,17 +291,17 @@
         *self.limit.lock().expect("not poisoned")
     }
 
-    /// Name of this life in the record of what comes to workers.
+    /// Returns the name of this instance in the recorded notice events.
     fn instance_name(&self) -> String {
         format!("{} started at {:?}", self.id, self.start_ms)
     }
 
-    /// Requests that came, in order.
+    /// Returns the requests that arrived, in order.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().expect("not poisoned").clone()
     }
 
-    /// Notes a request that came; for how long no more are wanted, where it is turned away.
+    /// Records a request that arrived. Returns the backoff to ask for if the worker rejects it.
     fn record_arrival(&self, request: &str) -> Option<Duration> {
         let backoff = *self.rejection_backoff.lock().expect("not poisoned");
         if let Some(gateway) = gateway_of(request) {
@@ -315,31 +316,31 @@
         backoff
     }
 
-    /// Whether it is about to end, which it says in all its answers.
+    /// Returns whether the worker is leaving, which all its answers state.
     fn is_leaving(&self) -> bool {
         let flags = [&self.leaving, &self.leaving_unreported, &self.deregistered];
         flags.iter().any(|flag| flag.load(Ordering::Relaxed))
     }
 
-    /// Says that it goes, without having said that it leaves, and serves on for a while.
+    /// Deregisters without having reported that it is leaving, and still serves requests.
     pub async fn deregister(&self) {
         self.deregistered.store(true, Ordering::Relaxed);
         let body = self.start_ms.map(|start_ms| json!({"born": start_ms}).to_string());
         self.call_controllers("deregister", body.unwrap_or_default().into()).await;
     }
 
-    /// Whether it was killed.
+    /// Returns whether it was killed.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// State of its replica, if it is a member of one.
+    /// Returns the name of its replica and its state there, if it is a member of one.
     pub fn membership(&self) -> Option<(String, &'static str)> {
         let state = self.lock();
         state.membership.as_ref().map(|membership| (membership.name.clone(), membership.state))
     }
 
-    /// Whether it is the head of a replica that serves.
+    /// Returns whether it is the head of a replica that serves.
     pub fn is_open_head(&self) -> bool {
         self.membership().is_some_and(|(_, state)| state == "open")
     }
@@ -355,7 +356,7 @@
         }
     }
 
-    /// Registers at the first controller that takes it.
+    /// Sends a heartbeat to the first controller that accepts it.
     async fn register(&self) {
         let silent =
             self.partitioned.load(Ordering::Relaxed) || self.deregistered.load(Ordering::Relaxed);
@@ -365,7 +366,7 @@
         self.call_controllers("heartbeat", self.heartbeat().to_string().into()).await;
     }
 
-    /// Makes a call of this worker at the first controller that takes it.
+    /// Sends a call of this worker to the first controller that accepts it.
     async fn call_controllers(&self, call: &str, body: Bytes) {
         for controller in &self.fleet.controllers {
             let request = Request::builder()
@@ -373,7 +374,7 @@
                 .uri(format!("/-/instances/{}/{call}", self.id))
                 .header("host", controller)
                 .body(Full::new(body.clone()))
-                .expect("the request is sound");
+                .expect("the request is valid");
             let answer = call_once(controller, request, Duration::from_secs(1)).await;
             if answer.is_ok_and(|answer| answer.status().is_success()) {
                 return;
@@ -404,7 +405,7 @@
         body
     }
 
-    /// Whether the replica that this worker heads lacks a member.
+    /// Returns whether the replica of this worker lacks a member.
     fn is_stalled(&self) -> bool {
         let state = self.lock();
         let Some(membership) = &state.membership else { return false };
@@ -427,12 +428,15 @@
         let membership =
             self.lock().membership.clone().filter(|membership| membership.state == "open");
         if header("target-instance") != self.id || (self.engine && membership.is_none()) {
-            return builder.status(421).body(AnswerBody::complete("")).expect("sound");
+            return builder
+                .status(421)
+                .body(AnswerBody::complete(""))
+                .expect("the response is valid");
         }
         if let Some(backoff) = self.record_arrival(&id) {
             let builder = builder.status(503).header("not-executed", "1");
             let builder = builder.header("retry-after", backoff.as_secs_f64().to_string());
-            return builder.body(AnswerBody::complete("")).expect("sound");
+            return builder.body(AnswerBody::complete("")).expect("the response is valid");
         }
         if let Some(membership) = &membership {
             self.fleet.check_complete(membership, &id);
@@ -443,16 +447,18 @@
             let path = head.uri.path().to_owned();
             self.fleet.record_crashing_run(&path);
             tokio::spawn(Arc::clone(self).crash_under_request(path));
-            // The head goes out, and no event.
+            // Sends the head of the answer, but no event.
             let truncated = unfold((), |()| async {
                 tokio::time::sleep(CRASH_DELAY).await;
                 Some((Err(TruncatedAnswerError), ()))
             });
-            return builder.body(AnswerBody::Chunks(Box::pin(truncated))).expect("sound");
+            return builder
+                .body(AnswerBody::Chunks(Box::pin(truncated)))
+                .expect("the response is valid");
         }
         if !self.engine {
             let body = format!("tenant {} request {id}", header("tenant"));
-            return builder.body(AnswerBody::complete(body)).expect("sound");
+            return builder.body(AnswerBody::complete(body)).expect("the response is valid");
         }
         let after: u64 = header("last-event-id").parse().unwrap_or_default();
         let worker = Arc::clone(self);
@@ -478,7 +484,7 @@
             }
         });
         let builder = builder.header("content-type", "text/event-stream");
-        builder.body(AnswerBody::Chunks(Box::pin(events))).expect("sound")
+        builder.body(AnswerBody::Chunks(Box::pin(events))).expect("the response is valid")
     }
 }
 
@@ -496,7 +502,10 @@
         }
         let other = head.headers.get("target-instance").is_some_and(|id| *id != self.id);
         if control && other {
-            return Response::builder().status(421).body(AnswerBody::complete("")).expect("sound");
+            return Response::builder()
+                .status(421)
+                .body(AnswerBody::complete(""))
+                .expect("the response is valid");
         }
         match head.uri.path() {
             "/-/order" => {
@@ -513,7 +522,10 @@
                     return Response::new(AnswerBody::complete(""));
                 }
                 let status = self.handle_order(&order);
-                Response::builder().status(status).body(AnswerBody::complete("{}")).expect("sound")
+                Response::builder()
+                    .status(status)
+                    .body(AnswerBody::complete("{}"))
+                    .expect("the response is valid")
             }
             "/-/report" => {
                 let report = self.start_ms.map_or(json!({}), |start_ms| json!({"born": start_ms}));
--- a/tests/platform/worker/orders.rs
+++ b/tests/platform/worker/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that a stand-in worker takes: its part in replicas.
+//! Execution of the orders that a stand-in worker receives: its membership in replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const JOIN_TIME: Duration = Duration::from_millis(100);
 
 impl Worker {
-    /// Carries an order out and tells controllers what has become of the worker.
+    /// Executes an order and sends a heartbeat with the new state to a controller.
     pub(super) fn handle_order(self: &Arc<Self>, order: &Value) -> u16 {
         let status = self.apply_order(order);
         let worker = Arc::clone(self);
