--- a/tests/platform/backoff.rs
+++ b/tests/platform/backoff.rs
@@ -1,13 +1,13 @@
-//! Workers that say in an answer that they want no requests.
+//! Workers that ask for a backoff in an answer.
 //!
-//! Heads of replicas at their limit turned requests away and asked each gateway for three seconds
-//! without any. Gateways did not read that. They took it for a failure like any other, left the
-//! worker out after the second one, for 0.8 s, and chose it again while other workers had room: one
-//! gateway logged `event=worker_left_out` for the same worker 0.54 s and 1.31 s after it had asked,
-//! and sent it five requests in its three seconds. With a line for each such send in the log, all
-//! six on a day with such workers said `event=sent_despite_backoff ... left_out=false`: the worker
-//! was chosen as usual, not as the last one, and up to 1 s after it had asked, so that nothing was
-//! under way either.
+//! Guards against gateways that ignore the backoff. Heads of replicas at their limit rejected
+//! requests and asked each gateway for three seconds without any. Gateways treated this like any
+//! other failure, ejected the worker after the second one for 0.8 s, and selected it again while
+//! other workers had capacity: one gateway logged `event=worker_left_out` for the same worker 0.54
+//! s and 1.31 s after the answer, and sent it five requests in the three seconds. In a run with
+//! such workers that logged each of these sends, all six had `event=sent_despite_backoff ...
+//! left_out=false`: the worker was selected in the usual way, not as the last resort, and up to 1 s
+//! after the answer, so that none of the requests had been in flight before it.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -20,29 +20,29 @@
 use crate::worker::{Arrival, Worker};
 use crate::{Deployment, deploy, wait_for_replicas};
 
-/// Time for which a worker asks for no requests.
+/// Backoff that a worker asks for.
 const BACKOFF_TIME: Duration = Duration::from_secs(3);
-/// The same for a worker that asks again and again, and how often it does.
+/// Backoff of a worker that asks for one repeatedly, and the number of its rejections.
 const SHORT_BACKOFF: Duration = Duration::from_millis(100);
 const MANY_REJECTIONS: usize = 12;
-/// Time in which a request that was under way already may still come to a worker.
+/// Time in which a request that was already in flight may still arrive at a worker.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
-/// Time for which a plain worker works on a request.
+/// Time that a plain worker takes for each request.
 const SERVICE_TIME: Duration = Duration::from_millis(100);
-/// Time in which a worker that may be sent requests again gets one.
+/// Timeout for a worker to reach a state, such as to get a request after its backoff.
 const REUSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Part of the requests that the other plain worker serves meanwhile. It has room for all; the
-/// rest is for those that were turned away when the budget of repeats was used up.
+/// Share of the requests that the other plain worker must serve meanwhile. It has capacity for all;
+/// the rest allows for requests that were rejected after the retry budget was used up.
 const SERVED: f64 = 0.95;
-/// Callers that ask one gateway again and again, for which the other workers have no room, so that
-/// it is worth a lot to use one that wants no requests.
+/// Number of concurrent callers at one gateway that exceeds the capacity of the other workers, so
+/// that the gateway has reason to use a worker during its backoff.
 const MANY_CALLERS: usize = 24;
-/// Callers for which the other plain worker has room.
+/// Number of concurrent callers for which the other plain worker has capacity.
 const FEW_CALLERS: usize = 10;
-/// The gateway that is asked.
+/// The gateway that gets all requests.
 const GATEWAY: usize = 0;
 
-/// Which workers are asked.
+/// Kind of the workers that are called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Plain,
@@ -58,16 +58,17 @@
     }
 }
 
-/// A deployment with two plain workers and three replicas, which serve.
+/// Starts a deployment with two plain workers and three replicas that serve.
 async fn deploy_serving(block: u8) -> (Deployment, [Arc<Worker>; 2]) {
     let mut deployment = deploy(block).await;
-    // With a spare there is room for a third replica.
+    // With a spare worker a third replica can form.
     let spare = Worker::start(&deployment.fleet, "spare", "models", true);
     deployment.engines.push(spare);
     let other = Worker::start(&deployment.fleet, "p1", "bookings", false);
     let plain = [Arc::clone(&deployment.plain), other];
     plain.iter().for_each(|worker| worker.set_service_time(SERVICE_TIME));
-    // At the gateway that is asked, so that it knows of answers: else the first copy goes alone.
+    // The warm-up uses the gateway under test: until a gateway has seen an answer, it sends only
+    // the first of several duplicates.
     for kind in [Kind::Plain, Kind::Replica] {
         deployment.system.call_gateway_until_served(GATEWAY, kind.path(), "warm").await;
     }
@@ -75,7 +76,7 @@
     (deployment, plain)
 }
 
-/// Workers that can serve a kind of request.
+/// Returns the workers that can serve a kind of request.
 fn workers_for(kind: Kind, deployment: &Deployment, plain: &[Arc<Worker>]) -> Vec<Arc<Worker>> {
     let engines = deployment.engines.iter().filter(|engine| engine.is_open_head());
     match kind {
@@ -84,7 +85,7 @@
     }
 }
 
-/// What callers saw.
+/// Results of the callers.
 #[derive(Debug, Default)]
 struct Tally {
     served: AtomicU32,
@@ -92,14 +93,14 @@
     stop: AtomicBool,
 }
 
-/// One caller, which asks again as soon as it is answered.
+/// Runs one caller, which sends the next request as soon as the last one is answered.
 async fn call_repeatedly(system: &System, kind: Kind, caller: usize, tally: &Tally) {
     let mut number = 0;
     while !tally.stop.load(Ordering::Relaxed) {
         number += 1;
         let id = format!("c{caller}-{number}");
         let answer = system.call(GATEWAY, kind.path(), &id, Some(KEY)).await;
-        match answer.expect("it is answered").status().as_u16() {
+        match answer.expect("the gateway answers").status().as_u16() {
             200 => {
                 tally.served.fetch_add(1, Ordering::Relaxed);
             }
@@ -107,12 +108,12 @@
                 tally.refused.lock().expect("not poisoned").push(id);
                 tokio::time::sleep(SERVICE_TIME).await;
             }
-            status => panic!("{id} is answered with {status}: {}", system.logs()),
+            status => panic!("{id} got status {status}: {}", system.logs()),
         }
     }
 }
 
-/// Runs callers beside something else until that has ended.
+/// Runs callers until another future has completed.
 async fn with_callers(
     system: &System,
     kind: Kind,
@@ -137,8 +138,8 @@
     }
 }
 
-/// Requests that came although the worker had asked for none at an earlier one, those that may
-/// have been under way aside.
+/// Returns the requests that arrived during a backoff that the worker had asked for, except those
+/// that may have been in flight.
 fn arrivals_during_backoff(arrivals: &[Arrival]) -> Vec<&Arrival> {
     let is_allowed = |arrival: &Arrival| {
         arrivals.iter().all(|earlier| {
@@ -161,7 +162,7 @@
     let tally = Tally::default();
     let rejected = async {
         worker.set_rejecting(Some(BACKOFF_TIME));
-        wait_until("it turns one away", system, || {
+        wait_until("the worker rejects a request", system, || {
             worker.arrivals().iter().any(|arrival| arrival.backoff.is_some())
         })
         .await;
@@ -176,14 +177,14 @@
         assert_eq!(deployment.fleet.runs(id), 0, "{id} ran, but was refused: {}", system.logs());
     }
     worker.set_rejecting(None);
-    let used_again = wait_until("it is used again", system, || {
+    let used_again = wait_until("the worker is used again", system, || {
         worker.arrivals().last().is_some_and(|last| last.backoff.is_none())
     });
     with_callers(system, kind, MANY_CALLERS, &Tally::default(), used_again).await;
 }
 
-/// A worker that has turned many requests away, and asked for a backoff each time, is used again
-/// once it takes requests, although the others have room for all.
+/// A worker that has rejected many requests with a backoff is used again once it accepts requests,
+/// even if the other workers have capacity for all.
 #[rstest]
 #[case::plain(58, Kind::Plain)]
 #[case::replica(59, Kind::Replica)]
@@ -193,19 +194,19 @@
     let system = &deployment.system;
     let worker = Arc::clone(&workers_for(kind, &deployment, &plain)[0]);
     worker.set_rejecting(Some(SHORT_BACKOFF));
-    let rejected = wait_until("it turns many away", system, || {
+    let rejected = wait_until("the worker rejects many requests", system, || {
         worker.arrivals().iter().filter(|arrival| arrival.backoff.is_some()).count()
             >= MANY_REJECTIONS
     });
     with_callers(system, kind, MANY_CALLERS, &Tally::default(), rejected).await;
     worker.set_rejecting(None);
-    let used_again = wait_until("it is used again", system, || {
+    let used_again = wait_until("the worker is used again", system, || {
         worker.arrivals().last().is_some_and(|last| last.backoff.is_none())
     });
     with_callers(system, kind, FEW_CALLERS, &Tally::default(), used_again).await;
 }
 
-/// What others have room for is served beside a worker that wants no requests.
+/// Other workers serve the requests that they have capacity for while one worker is in its backoff.
 #[rstest]
 #[tokio::test]
 async fn others_served_beside_backoff() {
@@ -221,8 +222,8 @@
     assert!(share >= SERVED, "others serve {share} of the requests: {}", system.logs());
 }
 
-/// Where no other worker is there, a caller is told at once that its request has not run, and to
-/// come back when the worker wants requests again.
+/// Without another worker, a caller is answered at once that its request has not run, with a
+/// retry-after delay that covers the rest of the backoff.
 #[rstest]
 #[tokio::test]
 async fn backoff_of_all_workers() {
@@ -232,26 +233,40 @@
     let worker = &deployment.plain;
     worker.set_rejecting(Some(BACKOFF_TIME));
     let rejected = system.call(GATEWAY, "/hold/1", "first", Some(KEY)).await;
-    assert_eq!(rejected.expect("it is answered").status().as_u16(), 503);
+    assert_eq!(rejected.expect("the gateway answers").status().as_u16(), 503);
     let backoff_start = Instant::now();
     while backoff_start.elapsed() < BACKOFF_TIME - IN_FLIGHT_TIME {
         let before = Instant::now();
         let answer = system.call(GATEWAY, "/hold/1", "later", Some(KEY)).await;
-        let answer = answer.expect("it is answered");
+        let answer = answer.expect("the gateway answers");
         assert_eq!(answer.status().as_u16(), 503, "{}", system.logs());
-        assert!(before.elapsed() < IN_FLIGHT_TIME, "it is not held: {}", system.logs());
+        assert!(
+            before.elapsed() < IN_FLIGHT_TIME,
+            "the gateway answers without delay: {}",
+            system.logs()
+        );
         let pause = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
-        let pause: f64 = pause.and_then(|value| value.parse().ok()).expect("a time to come back");
+        let pause: f64 =
+            pause.and_then(|value| value.parse().ok()).expect("the retry-after header is a number");
         let left = BACKOFF_TIME.saturating_sub(backoff_start.elapsed()).as_secs_f64();
-        assert!(pause >= left - 0.1, "{pause} s, but the worker wants none for {left} s");
+        assert!(
+            pause >= left - 0.1,
+            "retry-after is {pause} s, but {left} s of the backoff are left"
+        );
         tokio::time::sleep(SERVICE_TIME).await;
     }
-    assert_eq!(worker.arrivals().len(), 2, "the first and the warming one: {}", system.logs());
+    assert_eq!(
+        worker.arrivals().len(),
+        2,
+        "only the warm-up and the rejected request arrive: {}",
+        system.logs()
+    );
     worker.set_rejecting(None);
     system.call_until_served("/hold/1", "after").await;
 }
 
-/// What a worker tells controllers may come seconds late; its answers say at once that it leaves.
+/// A worker's leaving report can reach gateways through controllers seconds late, so its answers
+/// state at once that it is leaving.
 #[rstest]
 #[case::plain(29, Kind::Plain)]
 #[case::replica(30, Kind::Replica)]
@@ -260,19 +275,20 @@
     let (deployment, plain) = deploy_serving(block).await;
     let system = &deployment.system;
     let worker = Arc::clone(&workers_for(kind, &deployment, &plain)[0]);
-    // Drained within two seconds: more than any request takes to come.
+    // Two seconds of draining exceed the time in which any request may still arrive.
     let drain_time = Duration::from_secs(2);
     let left = std::sync::OnceLock::new();
     let other = async {
         worker.leave_unreported();
         let before = worker.arrivals().len();
-        wait_until("it answers one", system, || worker.arrivals().len() > before).await;
+        wait_until("the worker answers a request", system, || worker.arrivals().len() > before)
+            .await;
         let _ = left.set(Instant::now());
         tokio::time::sleep(drain_time + BACKOFF_TIME).await;
     };
     with_callers(system, kind, MANY_CALLERS, &Tally::default(), other).await;
-    let left = *left.get().expect("it left");
+    let left = *left.get().expect("the worker has answered that it is leaving");
     let arrivals = worker.arrivals();
     let late: Vec<_> = arrivals.iter().filter(|one| one.at > left + drain_time).collect();
-    assert!(late.is_empty(), "{} came later than {drain_time:?}: {}", late.len(), system.logs());
+    assert!(late.is_empty(), "{} arrived later than {drain_time:?}: {}", late.len(), system.logs());
 }
--- a/tests/platform/changes.rs
+++ b/tests/platform/changes.rs
@@ -1,16 +1,16 @@
-//! Changes of the configuration that follow each other faster than they travel.
+//! Configuration changes that follow each other faster than they reach all gateways.
 //!
-//! What happened: two gateways of one zone refused requests with 404 more than two seconds after
-//! the change that added their route was acknowledged, while a change came every 150 ms.
+//! Guards against a gateway that answers 404 more than two seconds after the change that added the
+//! route was acknowledged, while a change is committed every 150 ms. It happens when a zone's
+//! controller is partitioned from the other controllers, so that the gateways of the zone depend on
+//! controllers of other zones. These wait 400 ms before they publish to another zone, to let that
+//! zone's own controller publish first. They measured the wait from the newest commit, so that each
+//! change restarted it and it never elapsed while changes continued.
 //!
-//! Sequence: the zone's controller was cut off from the others, so its gateways depended on the
-//! controllers of other zones. These wait 400 ms, so that the zone's own controller comes first.
-//! They counted the wait from the newest commit, so each change began it anew, and it never ended
-//! while changes went on.
-//!
-//! What settled it: `event=gateway_behind` named the gateways of that zone only. In nine seconds of
-//! changes they logged `event=configuration_in_force` three times, each time after a pause of more
-//! than 400 ms in `event=configuration_committed`; reading one took 2 ms (`read_ms`).
+//! In the logs of the fault, `event=gateway_behind` named only gateways of that zone. In nine
+//! seconds of changes these gateways logged `event=configuration_in_force` three times, each time
+//! after a pause of more than 400 ms in `event=configuration_committed`; reading a configuration
+//! took 2 ms (`read_ms`).
 
 use std::time::Duration;
 
@@ -20,34 +20,35 @@
 
 use crate::system::{CONTROLLERS, KEY, Layout, System, configuration};
 
-/// Pause between two changes: well under the wait of controllers of other zones.
+/// Pause between two changes, well below the wait of controllers of other zones.
 const CHANGE_PAUSE: Duration = Duration::from_millis(100);
-/// Changes within which an earlier one must have come everywhere; a delivery takes about ten.
+/// Number of changes within which an earlier change must have reached every gateway. A delivery
+/// takes about ten.
 const MAX_CHANGES: u64 = 80;
-/// Looks, a pause apart, at what must come about before anything is disturbed.
+/// Number of polls for a condition that must hold before the disturbance, one `CHANGE_PAUSE` apart.
 const MAX_POLLS: u32 = 600;
 /// Version of the first configuration.
 pub const FIRST_VERSION: u64 = 3;
 
-/// Why a zone's controller does not tell its gateways.
+/// Reason why a zone's controller does not publish to its gateways.
 #[derive(Clone, Copy, Debug)]
 enum Absence {
-    /// It is cut off from the other controllers, and reaches its gateways.
+    /// It is partitioned from the other controllers, and still reaches its gateways.
     Isolated,
-    /// Its process has ended.
+    /// Its process was killed.
     Killed,
 }
 
-/// A configuration in which each change since the first has added a route.
+/// Returns a configuration in which each change since the first has added a route.
 pub fn grown_configuration(version: u64) -> Value {
     let added: Vec<u64> = (FIRST_VERSION + 1..=version).collect();
     configuration_with(version, &added)
 }
 
-/// A configuration with a route for each of the versions that have added one.
+/// Returns a configuration with an additional route for each version in `added`.
 pub fn configuration_with(version: u64, added: &[u64]) -> Value {
     let mut content = configuration(version);
-    let routes = content["routes"].as_array_mut().expect("it has routes");
+    let routes = content["routes"].as_array_mut().expect("the configuration has routes");
     for added in added {
         let mut route = routes[1].clone();
         route["name"] = json!(format!("added-{added}"));
@@ -61,19 +62,19 @@
     format!("/added-{version}/")
 }
 
-/// Whether a gateway routes what a version added.
+/// Returns whether a gateway has the route that a version added.
 async fn knows_route(system: &System, gateway: usize, version: u64) -> bool {
     if system.version_at(gateway).await == 0 {
-        // Without any configuration it refuses with 503 too.
+        // A gateway without a configuration also answers 503.
         return false;
     }
     let id = format!("route-{gateway}-{version}");
     let answer = system.call(gateway, &added_path(version), &id, Some(KEY)).await;
-    // There are no workers: what is routed is refused with 503, and anything else with 404.
+    // No workers run: a request with a route is answered with 503, one without a route with 404.
     answer.is_ok_and(|answer| answer.status().as_u16() == 503)
 }
 
-/// Waits until a gateway routes what a version added, before anything is disturbed.
+/// Waits, before the disturbance, until a gateway has the route that a version added.
 async fn wait_for_route(system: &System, gateway: usize, version: u64) {
     for _ in 0..MAX_POLLS {
         if knows_route(system, gateway, version).await {
@@ -81,10 +82,10 @@
         }
         tokio::time::sleep(CHANGE_PAUSE).await;
     }
-    panic!("gateway {gateway} does not come to version {version}: {}", system.logs());
+    panic!("gateway {gateway} does not reach version {version}: {}", system.logs());
 }
 
-/// A controller that does not lead; the gateway of the same index is in its zone.
+/// Returns a controller that does not lead. The gateway with the same index is in its zone.
 async fn find_follower(system: &System) -> usize {
     for _ in 0..MAX_POLLS {
         let mut leads = Vec::new();
@@ -92,7 +93,7 @@
             leads.push(system.metrics(controller).await.contains("controller_leads 1"));
         }
         if leads.contains(&true) {
-            return leads.iter().position(|leads| !leads).expect("one leads at most");
+            return leads.iter().position(|leads| !leads).expect("at most one controller leads");
         }
         tokio::time::sleep(CHANGE_PAUSE).await;
     }
@@ -126,7 +127,7 @@
     let absent = find_follower(&system).await;
     make_absent(&mut system, absent, absence);
     let first = version + 1;
-    // Once the absence is noticed each later change arrives as soon as the first does.
+    // Once the absence is detected, each later change must arrive as fast as the first one.
     let mut pending = vec![first, first + 40];
     while let Some(wanted) = pending.first().copied() {
         version += 1;
--- a/tests/platform/crashing_burst.rs
+++ b/tests/platform/crashing_burst.rs
@@ -1,10 +1,11 @@
-//! Requests that end the workers they run on, many copies at once.
+//! Bursts of many duplicates of a request that crashes the workers that run it.
 //!
-//! Runs counted against a request only where each was sent after the one before had ended, so that
-//! forty copies that took all ten workers of a service down at once were one piece of evidence, as
-//! a lost rack is. They came again after six seconds and did so once more: 64 and 80 workers ended
-//! in two runs, 24 and 49 copies were sent later than three seconds after the third had ended, and
-//! 0.855 of what other callers sent was served.
+//! Guards against late quarantine of such a request. A run counted against a request only if it was
+//! sent after the previous crash, so that forty duplicates that crashed all ten workers of a
+//! service at once were one piece of evidence, like a lost rack. A second burst after six seconds
+//! crashed all workers again: in two runs 64 and 80 workers crashed, 24 and 49 duplicates were sent
+//! later than three seconds after the third crash, and 0.855 of the requests of other callers were
+//! served.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -18,31 +19,31 @@
 use crate::worker::{CRASHING_BODY, Worker};
 
 const GATEWAYS: usize = 3;
-/// Plain workers of the service.
+/// Number of plain workers of the service.
 const WORKERS: usize = 10;
-/// Copies of each burst.
+/// Number of duplicates in each burst.
 const DUPLICATES: usize = 40;
-/// Bursts, and the pause between two of them.
+/// Number of bursts, and the pause between two of them.
 const BURSTS: usize = 3;
 const BURST_PAUSE: Duration = Duration::from_secs(5);
-/// Workers that may end under a burst: each gateway sends one copy and repeats it once before it
-/// has heard of the others.
+/// Number of workers that a burst may crash: each gateway sends one duplicate and retries it once
+/// before it learns of the crashes at the others.
 const MAX_CRASHES_AT_ONCE: usize = 2 * GATEWAYS;
-/// Time after the third end from which hardly anything is sent any more.
+/// Time after the third crash from which on almost no duplicate may be sent.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Copies that may be sent after that, at all gateways together.
+/// Number of duplicates that may be sent after that, over all gateways.
 const MAX_LATE: usize = 3;
-/// Other callers, and the pause between two requests of one.
+/// Number of other callers, and the pause between two requests of one.
 const OTHERS: usize = 4;
 const OTHER_PAUSE: Duration = Duration::from_millis(100);
-/// Part of them that is served once the first burst is known.
+/// Share of their requests that must be served after the first burst.
 const SERVED: f64 = 0.95;
 
-/// What happens after the first burst.
+/// Event after the first burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interlude {
     Nothing,
-    /// All controllers end at once and start again.
+    /// All controllers are killed and started again.
     RestartControllers,
 }
 
@@ -64,7 +65,7 @@
     (system, fleet)
 }
 
-/// Sends copies of the request to all gateways at once; 502 and 503 are true answers.
+/// Sends duplicates of the request to all gateways at once; 502 and 503 are the correct answers.
 async fn send_burst(system: &System, burst: usize) {
     let duplicates = (0..DUPLICATES).map(|duplicate| async move {
         let id = format!("copy-{burst}-{duplicate}");
@@ -76,10 +77,10 @@
     futures_util::future::join_all(duplicates).await;
 }
 
-/// What becomes of the requests of other callers.
+/// Results of the requests of other callers.
 #[derive(Debug, Default)]
 struct OtherTally {
-    /// Whether what is sent now counts.
+    /// Whether requests sent now count.
     counts: AtomicBool,
     stop: AtomicBool,
     sent: AtomicU32,
@@ -87,14 +88,14 @@
 }
 
 impl OtherTally {
-    /// Part of what counts that was served.
+    /// Returns the served share of the requests that count.
     fn share(&self) -> f64 {
         f64::from(self.served.load(Ordering::Relaxed))
             / f64::from(self.sent.load(Ordering::Relaxed))
     }
 }
 
-/// One other caller, which asks all gateways in turn.
+/// Runs one other caller, which calls all gateways in turn.
 async fn call_others(system: &System, caller: usize, tally: &OtherTally) {
     let mut number = caller;
     while !tally.stop.load(Ordering::Relaxed) {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Runs other callers beside something else until that has ended.
+/// Runs other callers until another future has completed.
 async fn with_others(system: &System, tally: &OtherTally, other: impl Future<Output = ()>) {
     tally.stop.store(false, Ordering::Relaxed);
     let others = (0..OTHERS).map(|caller| call_others(system, caller, tally));
@@ -129,7 +130,7 @@
     let (mut system, fleet) = deploy(block).await;
     let tally = OtherTally::default();
     let first = async {
-        // Others are under way before the first burst, too.
+        // Other callers have requests in flight before the first burst, too.
         tokio::time::sleep(Duration::from_millis(200)).await;
         send_burst(&system, 0).await;
         tokio::time::sleep(PROPAGATION_TIME).await;
@@ -155,10 +156,10 @@
     let third = fleet.crashes().get(2).map_or_else(Instant::now, |(_, at)| *at) + PROPAGATION_TIME;
     let late = fleet.crashing_runs().iter().filter(|(_, at)| *at > third).count();
     println!(
-        "{at_once} workers ended at once, {} in all, {late} copies late, {share} of others served",
+        "{at_once} workers crashed at once, {} in all, {late} duplicates late, {share} of others served",
         fleet.crashes().len()
     );
-    assert!(at_once <= MAX_CRASHES_AT_ONCE, "{at_once} workers ended at once: {}", system.logs());
-    assert!(late <= MAX_LATE, "{late} copies were sent late: {}", system.logs());
+    assert!(at_once <= MAX_CRASHES_AT_ONCE, "{at_once} workers crashed at once: {}", system.logs());
+    assert!(late <= MAX_LATE, "{late} duplicates were sent late: {}", system.logs());
     assert!(share >= SERVED, "{share} of the others were served: {}", system.logs());
 }
--- a/tests/platform/crashing_request.rs
+++ b/tests/platform/crashing_request.rs
@@ -1,11 +1,11 @@
-//! Requests that end the workers they run on.
+//! Requests that crash the workers that run them.
 //!
-//! A request that a worker cannot bear ended each worker that began to run it. Its caller sent it
-//! again, at other gateways, and each gateway took it for a new request with all its attempts: 36
-//! workers ended under one request, two for each time that it came, and 16 of its sends reached
-//! workers more than three seconds after the third had ended. The log of the gateways showed
-//! `sends=2 last="...: its connection broke; ...: its connection broke"` under a new identity each
-//! time, always within the attempts that its route allowed.
+//! Guards against a request that crashes a new set of workers each time its caller sends it again.
+//! Each gateway treated it as a new request with all attempts of its route: 36 workers crashed
+//! under one request, two each time it was sent, and 16 of its sends reached workers more than
+//! three seconds after the third crash. The gateways logged `sends=2 last="...: its connection
+//! broke; ...: its connection broke"` with a new request id each time, always within the attempts
+//! that the route allows.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
 use crate::worker::{CRASHING_BODY, Worker};
 use crate::{Deployment, deploy, wait_for_replicas};
 
-/// Workers beyond those of every deployment: one more replica and its spares.
+/// Engine workers in addition to those of every deployment: one more replica and its spares.
 const MORE_ENGINES: usize = 6;
-/// Replicas that all workers form.
+/// Number of replicas that all workers form.
 const REPLICAS: usize = 4;
-/// Workers that may end under a request before it is known to end them.
+/// Number of workers that a request may crash before it is quarantined.
 const MAX_CRASHES: u32 = 3;
-/// Times that the request comes again once it is known.
+/// Highest number of times that the request is sent before and after its quarantine.
 const RETRIES: usize = 8;
-/// Time after the third end within which all gateways know of the request.
+/// Time after the third crash within which all gateways know of the quarantine.
 const PROPAGATION_TIME: Duration = Duration::from_millis(1500);
-/// Pause between two times that the request comes.
+/// Pause between two sends of the request.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What happens between the third end and the next time that the request comes.
+/// Event between the third crash and the next send of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interlude {
     Nothing,
-    /// All controllers end at once and start again.
+    /// All controllers are killed and started again.
     RestartControllers,
-    /// Each gateway in turn ends and starts again.
+    /// Each gateway in turn is killed and started again.
     RestartGateways,
 }
 
@@ -85,7 +85,7 @@
 async fn crashing_request_quarantined(#[case] block: u8, #[case] interlude: Interlude) {
     let mut deployment = deploy_replicas(block).await;
     let gateways = deployment.system.gateways.len();
-    // It comes at one gateway and then at another, until three workers have ended under it.
+    // The request is sent to the gateways in turn until it has crashed three workers.
     for number in 0..RETRIES {
         if deployment.fleet.crash_count() >= MAX_CRASHES {
             break;
@@ -98,20 +98,25 @@
     run_interlude(interlude, &mut deployment).await;
     for number in 0..RETRIES {
         let system = &deployment.system;
-        // Replicas are there each time, so that the request could run.
+        // Replicas are open each time, so that the request could run.
         system.call_until_served("/chat/1", &format!("other-{number}")).await;
         let id = format!("again-{number}");
         let status = call_crashing(system, number % gateways, &id).await;
         assert_eq!(deployment.fleet.runs(&id), 0, "{id} ran: {}", system.logs());
-        assert_eq!(status, 503, "it has not run, and is told so: {}", system.logs());
+        assert_eq!(
+            status,
+            503,
+            "the answer states that the request has not run: {}",
+            system.logs()
+        );
         tokio::time::sleep(RETRY_PAUSE).await;
     }
-    assert!(crashes <= MAX_CRASHES, "{crashes} workers ended");
+    assert!(crashes <= MAX_CRASHES, "{crashes} workers crashed");
     assert_eq!(deployment.fleet.crash_count(), crashes);
 }
 
-/// Workers that end at once, under requests that are alike, were ended by something else: the same
-/// request is served as soon as there are workers again.
+/// Workers that crash at once while they run equal requests have another cause: the request is not
+/// quarantined and is served once workers are available again.
 #[rstest]
 #[tokio::test]
 async fn similar_requests_served_after_common_crash() {
@@ -135,7 +140,8 @@
     system.call_until_served("/chat/1", "after").await;
 }
 
-/// An operator lets a held request go, by way of any controller, and it runs again at any gateway.
+/// An operator releases a quarantined request through any controller, and it runs again at any
+/// gateway.
 #[rstest]
 #[case::first(37, 0)]
 #[case::second(38, 1)]
@@ -152,15 +158,19 @@
     tokio::time::sleep(PROPAGATION_TIME).await;
     let logs = system.logs();
     let content = logs.split(prefix).nth(1).map(|rest| &rest[..16]);
-    let content = content.unwrap_or_else(|| panic!("it is held: {logs}")).to_owned();
+    let content =
+        content.unwrap_or_else(|| panic!("the request is not quarantined: {logs}")).to_owned();
     let server = format!("http://{}", system.controllers[controller]);
     let crashes = deployment.fleet.crash_count();
     let release = tokio::task::spawn_blocking(move || {
         let program = env!("CARGO_BIN_EXE_hollowbarrow");
         let arguments = ["release", &content, "--server", &server];
-        std::process::Command::new(program).args(arguments).output().expect("it runs")
+        std::process::Command::new(program)
+            .args(arguments)
+            .output()
+            .expect("the command can be started")
     });
-    let output = release.await.expect("it ends");
+    let output = release.await.expect("the command task does not panic");
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     tokio::time::sleep(PROPAGATION_TIME).await;
     system.call_until_served("/chat/1", "other").await;
--- a/tests/platform/foreign.rs
+++ b/tests/platform/foreign.rs
@@ -1,4 +1,4 @@
-//! Calls of other writers under the ids of workers.
+//! Calls of other writers with the ids of workers.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Calls under a worker's id that it would not make.
+/// Returns heartbeat records that the worker of this id would not send.
 pub fn foreign_records() -> Vec<Value> {
     let valid = json!({"service": "bookings", "address": "127.0.0.1:1", "zone": "a",
         "version": "v1", "slots": 8, "state": "ready", "cold_left_ms": 0,
@@ -24,7 +24,7 @@
     };
     let without = |field: &str| {
         let mut record = valid.clone();
-        record.as_object_mut().expect("an object").remove(field);
+        record.as_object_mut().expect("the record is an object").remove(field);
         record
     };
     vec![
@@ -40,14 +40,14 @@
     ]
 }
 
-/// Sends a record under a worker's id to a controller; the status, or 0 without an answer.
+/// Sends a record with a worker's id to a controller. Returns the status, or 0 without an answer.
 pub async fn send_record(controller: &str, id: &str, record: &Value) -> u16 {
     let request = Request::builder()
         .method(Method::POST)
         .uri(format!("/-/instances/{id}/heartbeat"))
         .header("host", controller)
         .body(Full::new(Bytes::from(record.to_string())))
-        .expect("sound");
+        .expect("the request is valid");
     let answer = call_once(controller, request, CALL_TIMEOUT).await;
     answer.map_or(0, |answer| answer.status().as_u16())
 }
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -1,7 +1,7 @@
-//! Workers that name the requests a second that they take from all gateways together.
+//! Workers that state a limit in requests per second, which applies to all gateways together.
 //!
-//! Heads of replicas named 1.8 and 3.1 a second and went on to get 6 and 8: gateways did not read
-//! it, and a worker with few requests is the best one to choose.
+//! Guards against gateways that ignore the limit: heads of replicas stated 1.8 and 3.1 per second
+//! and still got 6 and 8, since a worker with few requests is the preferred choice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use crate::worker::{Worker, request_id_via};
 use crate::{Deployment, deploy_with};
 
-/// Gateways of each system; callers reach all of them alike.
+/// Number of gateways of each system. Callers use all of them equally.
 const GATEWAYS: usize = 6;
-/// Plain workers of a system.
+/// Number of plain workers of a system.
 const PLAIN_WORKERS: usize = 10;
-/// Pause between two requests of all callers together.
+/// Pause between two requests, over all callers.
 const REQUEST_PAUSE: Duration = Duration::from_millis(10);
-/// Time for which a plain worker works on a request.
+/// Time that a plain worker takes for each request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
-/// Time for which requests come: one in which limits need not be kept yet, and a whole window.
+/// Duration of the load. It covers the time in which limits are not enforced yet and a complete
+/// window.
 const LOAD_TIME: Duration = Duration::from_secs(9);
 
-/// A system with plain workers beside those of replicas.
+/// Starts a system with plain workers in addition to those of replicas.
 async fn deploy_plain(block: u8) -> (Deployment, Vec<Arc<Worker>>) {
     let layout = Layout { gateways: GATEWAYS as u8, ..Layout::plain() };
     let deployment = deploy_with(block, layout).await;
@@ -42,8 +43,8 @@
     (deployment, plain)
 }
 
-/// Callers that send to all gateways in turn at an even pace, whatever comes of it; how many were
-/// served.
+/// Sends requests to all gateways in turn at a constant rate, independent of the answers, and
+/// returns how many were served.
 async fn send_evenly(deployment: &Deployment, path: &'static str, time: Duration) -> usize {
     let end = Instant::now() + time;
     let mut pace = tokio::time::interval(REQUEST_PAUSE);
@@ -62,7 +63,7 @@
     }
     let mut served = 0;
     for call in calls {
-        served += usize::from(call.await.expect("it does not fail"));
+        served += usize::from(call.await.expect("the call task does not panic"));
     }
     println!("{served} of {number} served");
     served
@@ -88,7 +89,7 @@
     assert_limits_kept(&deployment);
 }
 
-/// A limit that falls holds for what gateways knew of the former one too.
+/// A lower limit also applies to the allowance that gateways computed from the former limit.
 #[rstest]
 #[tokio::test]
 async fn limit_kept_while_falling() {
@@ -103,7 +104,7 @@
     assert_limits_kept(&deployment);
 }
 
-/// Workers that name no limit any more are used as before.
+/// Workers that withdraw their limit are used as before.
 #[rstest]
 #[tokio::test]
 async fn limit_withdrawn() {
@@ -111,7 +112,7 @@
     plain.iter().for_each(|worker| worker.set_limit(Some("1")));
     send_evenly(&deployment, "/hold/1", LOAD_TIME / 3).await;
     plain.iter().for_each(|worker| worker.set_limit(None));
-    // One answer without the limit tells a gateway, and it tells the others.
+    // One answer without the limit reaches a gateway, which publishes it to the others.
     let deadline = Instant::now() + LOAD_TIME * 3;
     loop {
         let from = deployment.fleet.notice_events().len();
@@ -125,12 +126,12 @@
     assert_limits_kept(&deployment);
 }
 
-/// What disturbs a system while workers name limits.
+/// Fault in a system while workers state limits.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// All controllers end, and nobody tells gateways of each other.
+    /// All controllers are killed, so that gateways receive no state of each other.
     LostControllers,
-    /// One gateway ends and another one stands still for a while.
+    /// One gateway is killed and another one is suspended for a while.
     LostGateways,
 }
 
@@ -168,12 +169,12 @@
     deployment.fleet.record_notice_event(NoticeEvent::Disturbed { gateway, at: Instant::now() });
 }
 
-/// Heads of replicas, of which some name limits; streams are sent to them.
+/// Some heads of replicas state limits while streams are sent.
 #[rstest]
 #[tokio::test]
 async fn limit_kept_towards_heads() {
     let (mut deployment, _) = deploy_plain(67).await;
-    // With a spare there is room for a third replica.
+    // With a spare worker a third replica can form.
     let spare = Worker::start(&deployment.fleet, "spare", "models", true);
     deployment.engines.push(spare);
     crate::wait_for_replicas(&deployment, 3).await;
--- a/tests/platform/lost_power.rs
+++ b/tests/platform/lost_power.rs
@@ -1,14 +1,14 @@
-//! All daemons lose power, some of them their disks, right after an acknowledged change.
+//! All daemons lose power, and one controller its disk, right after acknowledged changes.
 //!
-//! Ten seconds after a change was acknowledged, and five after all machines had power again,
-//! gateways still refused the route that it had added with 404. No controller led: a voter that had
-//! lost its disk earlier had never been admitted anew, and with the disks lost at the end no
-//! majority was left. The controllers told their last snapshots after two seconds, and the
-//! gateways took these for the newest.
+//! Guards against gateways that answer 404 on an acknowledged route: it happened ten seconds after
+//! the change was acknowledged and five seconds after all machines had power again. No controller
+//! led, because a voter that had lost its disk earlier was never admitted again, and the disks lost
+//! at the end left no majority. After two seconds the controllers published their last snapshots,
+//! and the gateways treated these as the newest configuration.
 //!
-//! The leader, which no setting named, had refused its own proposal every half second:
-//! `event=voters_proposed` 50 times in 26 s, each followed by `event=voters_refused outcome=Busy`,
-//! while the voter went on to say `lost_disk=true`.
+//! The voter was not admitted because the leader, which no setting named as a seed, refused its own
+//! proposal every half second: `event=voters_proposed` 50 times in 26 s, each followed by
+//! `event=voters_refused outcome=Busy`, while the voter continued to report `lost_disk=true`.
 
 use std::time::Duration;
 
@@ -17,16 +17,17 @@
 use crate::changes::{FIRST_VERSION, added_path, grown_configuration};
 use crate::system::{CONTROLLERS, KEY, Layout, System, configuration};
 
-/// Pause between two looks.
+/// Interval between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Looks before something that must happen counts as missing.
+/// Number of polls after which a condition that must hold counts as failed.
 const MAX_POLLS: u32 = 600;
-/// Looks at a voter that is to be admitted anew.
+/// Number of polls for the admission of a voter.
 const ADMISSION_POLLS: u32 = 100;
-/// Version of the last change: some beyond a snapshot, which replaces 16 entries of the log.
+/// Version of the last change. It lies some changes beyond a snapshot, which replaces 16 log
+/// entries.
 const LAST_VERSION: u64 = FIRST_VERSION + 22;
 
-/// The controller that leads.
+/// Returns the controller that leads.
 async fn find_leader(system: &System) -> usize {
     for _ in 0..MAX_POLLS {
         for controller in 0..CONTROLLERS {
@@ -48,23 +49,23 @@
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("there are not {CONTROLLERS} voters: {}", system.logs());
+    panic!("the controllers do not reach {CONTROLLERS} voters: {}", system.logs());
 }
 
-/// Waits until a gateway holds the last change, and fails where it refuses its route for good.
+/// Waits until a gateway has the last change, and fails if it denies the route.
 async fn wait_for_last_change(system: &System, gateway: usize) {
     for poll in 0..MAX_POLLS {
         let id = format!("added-{gateway}-{poll}");
         let answer = system.call(gateway, &added_path(LAST_VERSION), &id, Some(KEY)).await;
         if answer.is_ok_and(|answer| answer.status().as_u16() == 404) {
-            panic!("gateway {gateway} says that the route does not exist: {}", system.logs());
+            panic!("gateway {gateway} denies the route of the last change: {}", system.logs());
         }
         if system.version_at(gateway).await == LAST_VERSION {
             return;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("gateway {gateway} does not come to the last change: {}", system.logs());
+    panic!("gateway {gateway} does not reach the last change: {}", system.logs());
 }
 
 #[rstest]
@@ -73,7 +74,7 @@
     let mut system = System::start_with(45, Layout::with_one_seed());
     assert_eq!(system.replace(&configuration(FIRST_VERSION)).await, 200);
     wait_for_voters(&system).await;
-    // The seed loses its disk, so that one leads which the settings do not name.
+    // The seed loses its disk, so that a controller leads that the settings do not name.
     system.kill_controller(0);
     assert_eq!(system.replace(&grown_configuration(FIRST_VERSION + 1)).await, 200);
     system.restart_controller(0, true);
--- a/tests/platform/restarted_worker.rs
+++ b/tests/platform/restarted_worker.rs
@@ -1,8 +1,9 @@
-//! Workers that start again under their ids, and records of other writers under those ids.
+//! Workers that restart with the same id, and records of other writers with that id.
 //!
-//! A later life was taken for late calls of the former one until its numbers had passed that one's:
-//! of ten workers that came back after 0.6 s five got no request within 12 s. A replica whose
-//! member had started again went on to get requests, since that member seemed to answer.
+//! Guards against two faults. Calls of the new instance counted as late calls of the former one
+//! until its sequence numbers exceeded the former ones: of ten workers that restarted after 0.6 s,
+//! five got no request within 12 s. A replica with a restarted member continued to get requests,
+//! since that member still answered.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,16 +17,17 @@
 use crate::system::{KEY, System, configuration};
 use crate::worker::Worker;
 
-/// Plain workers of each test.
+/// Number of plain workers in each test.
 const WORKERS: usize = 10;
-/// Heartbeats of the first lives: those of the next ones are behind their numbers for long.
+/// Heartbeats that the first instances send, so that the sequence numbers of the next instances
+/// stay lower for the whole test.
 const FIRST_HEARTBEATS: u64 = 40;
-/// Heartbeats within which a life that has come back must get requests; one should do.
+/// Heartbeats of a restarted instance within which it must get requests. One should suffice.
 const MAX_HEARTBEATS: u64 = 8;
-/// Requests at once: gateways prefer workers to which a connection waits, and use others only
-/// beside those.
+/// Number of concurrent requests. Gateways prefer workers with an idle connection, and use other
+/// workers only under concurrency.
 const BURST: usize = 60;
-/// Bursts after which each of the workers has had some.
+/// Number of bursts within which each worker must get a request.
 const MAX_BURSTS: usize = 50;
 const RESTART_TIME: Duration = Duration::from_millis(600);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -35,7 +37,7 @@
     workers: Vec<Arc<Worker>>,
 }
 
-/// Plain workers that have gone on for a while.
+/// Starts a system with plain workers that have sent many heartbeats.
 async fn start_plain(block: u8) -> Fixture {
     let system = System::start(block);
     let fleet = Fleet::new(system.controllers.clone());
@@ -53,7 +55,8 @@
 }
 
 impl Fixture {
-    /// Sends requests until each worker has answered one; false where that takes too many.
+    /// Sends requests until each worker has answered one. Returns false once `continues` returns
+    /// false or the bursts are used up.
     async fn all_used(&self, name: &str, mut continues: impl FnMut() -> bool) -> bool {
         let mut used: BTreeSet<String> = BTreeSet::new();
         for burst in 0..MAX_BURSTS {
@@ -93,9 +96,9 @@
     let start = Instant::now();
     let within = || instances.iter().all(|instance| instance.heartbeats_sent() < MAX_HEARTBEATS);
     let used = fixture.all_used("again", within).await;
-    println!("all lives had a request {:?} after they had started", start.elapsed());
-    assert!(used, "some lives get no requests: {}", fixture.system.logs());
-    // A life that was used before its first call has been told by then.
+    println!("all instances had a request {:?} after the restart", start.elapsed());
+    assert!(used, "some instances get no requests: {}", fixture.system.logs());
+    // An instance may be used before its first heartbeat. By its third heartbeat it is registered.
     while instances.iter().any(|instance| instance.heartbeats_sent() < 3) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
@@ -119,7 +122,7 @@
     assert!(logs.contains("event=record_refused worker=\"p0\" field=\"slots\""), "{logs}");
 }
 
-/// A member that has started again is a lost one, though it never missed a heartbeat for long.
+/// A restarted member counts as lost, even if it missed no heartbeat deadline.
 #[rstest]
 #[case::member(35, false, RESTART_TIME)]
 #[case::member_at_once(36, false, Duration::from_millis(50))]
@@ -142,10 +145,11 @@
     let is_candidate = |engine: &Arc<Worker>| {
         engine.is_open_head() == head && engine.epoch().is_some_and(|epoch| open.contains(&epoch))
     };
-    let index = engines.iter().position(is_candidate).expect("a replica is open");
-    let epoch = engines[index].epoch().expect("it is a member");
+    let index =
+        engines.iter().position(is_candidate).expect("a replica with a matching member is open");
+    let epoch = engines[index].epoch().expect("the engine is a member of a replica");
     engines[index] = engines[index].restart_after(after, false).await;
-    // From its second heartbeat on every gateway has been told.
+    // By its second heartbeat, the restart has been published to every gateway.
     while engines[index].heartbeats_sent() < 3 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/tests/platform/stale_gateway.rs
+++ b/tests/platform/stale_gateway.rs
@@ -1,9 +1,10 @@
-//! A gateway that knows of a configuration which it does not hold.
+//! A gateway that knows of a newer configuration than the one it has.
 //!
-//! A gateway that has missed a change refuses with 404 or 401 what the change allows, and callers
-//! do not ask again after that. Views of the leader reach it also where its home's own log hangs,
-//! so it can know that it is behind: until it has caught up it may tell nobody that a route or a
-//! key does not exist, and it asks every controller, not its home alone.
+//! A gateway that has missed a change would answer 404 or 401 on requests that the change allows,
+//! and callers do not retry after these. The leader's views reach the gateway even if the log of
+//! its primary controller is stalled, so the gateway knows that it is behind. Until it has caught
+//! up, it must not deny the existence of a route or a key, and it reports to every controller, not
+//! only to its primary.
 
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,23 +22,25 @@
 
 use crate::system::{KEY, call_gateway, configuration, free_ports};
 
-/// Pause between two views, and between two looks at what is waited for.
+/// Interval between two views, and between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Looks before something that must happen counts as missing.
+/// Number of polls after which a condition that must hold counts as failed.
 const MAX_POLLS: usize = 200;
-/// Reports to the home in which the reports to others are counted.
+/// Number of reports to the primary controller during which the reports to the other controller are
+/// counted.
 const COUNTED_REPORTS: u64 = 60;
 
-/// A controller that tells only what the test has it tell.
+/// A stand-in controller that sends only the messages that the test requests.
 struct StandinController {
     links: MemberLinks,
-    /// Reports of the gateway so far, and the version that the last one told of.
+    /// Number of reports of the gateway, and the configuration version in the last one.
     reports: Arc<(AtomicU64, AtomicU64)>,
 }
 
 impl StandinController {
     fn start(settings: &Value) -> Self {
-        let settings = read_member_settings("test", &settings.to_string()).expect("sound");
+        let settings =
+            read_member_settings("test", &settings.to_string()).expect("the settings are valid");
         let reports: Arc<(AtomicU64, AtomicU64)> = Arc::default();
         let counters = Arc::clone(&reports);
         let links = MemberLinks::start(&settings, move |_, message| {
@@ -64,13 +67,13 @@
     }
 }
 
-/// A gateway's process, before two stand-in controllers.
+/// A gateway process with two stand-in controllers.
 struct Fixture {
     primary: Arc<StandinController>,
     other: StandinController,
     gateway: DaemonId,
     callers: String,
-    /// Version that the leader's views name; none while no view comes.
+    /// Version that the leader's views name, or `None` while no views are sent.
     view_version: Arc<Mutex<Option<u64>>>,
     process: Child,
     _folder: TempDir,
@@ -78,7 +81,7 @@
 
 impl Fixture {
     fn start(block: u8) -> Self {
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let folder = tempfile::tempdir().expect("a temporary directory can be created");
         let [mesh, callers, readiness] = free_ports();
         let ip = |number: u8| format!("127.77.{block}.{number}");
         let settings = |number: u8, zone: &str| {
@@ -118,12 +121,12 @@
         *self.view_version.lock().expect("not poisoned") = Some(version);
     }
 
-    /// Has no view come from now on.
+    /// Sends no more views.
     fn stop_views(&self) {
         *self.view_version.lock().expect("not poisoned") = None;
     }
 
-    /// Has the gateway hold a version.
+    /// Sends a configuration until the gateway reports its version.
     async fn deliver(&self, version: u64) {
         for _ in 0..MAX_POLLS {
             self.primary.send_configuration(&self.gateway, version);
@@ -132,7 +135,7 @@
                 return;
             }
         }
-        panic!("the gateway does not take version {version}");
+        panic!("the gateway does not report version {version}");
     }
 
     async fn status(&self, path: &str, key: &str) -> u16 {
@@ -140,16 +143,16 @@
         answer.map_or(0, |answer| answer.status().as_u16())
     }
 
-    async fn wait_status(&self, path: &str, key: &str, wanted: u16) {
+    async fn wait_status(&self, path: &str, key: &str, expected: u16) {
         let mut status = 0;
         for _ in 0..MAX_POLLS {
             status = self.status(path, key).await;
-            if status == wanted {
+            if status == expected {
                 return;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        panic!("{path} is answered {status}, not {wanted}");
+        panic!("{path} got status {status}, expected {expected}");
     }
 }
 
@@ -185,7 +188,7 @@
     }
 }
 
-/// Has the gateway hold version 3, and hear of version 5.
+/// Delivers version 3 to the gateway, then sends views that name version 5.
 async fn fall_behind(fixture: &Fixture) {
     fixture.set_view_version(3);
     fixture.deliver(3).await;
@@ -206,15 +209,19 @@
     fixture.wait_status("/chat/1", "other", 401).await;
 }
 
-/// Gateways refused an acknowledged route with 404 after all machines had lost power. No leader
-/// was there to tell them that it existed, and what they had came from a controller that had just
-/// started.
+/// Guards against gateways that answer 404 on an acknowledged route after all machines lost power.
+/// No leader published the newest version, and the configuration of the gateways came from a
+/// controller that had just started.
 #[rstest]
 #[tokio::test]
 async fn refusal_without_views() {
     let fixture = Fixture::start(13);
     fixture.deliver(3).await;
-    assert_eq!(fixture.status("/none/1", KEY).await, 503, "no leader has told what is newest");
+    assert_eq!(
+        fixture.status("/none/1", KEY).await,
+        503,
+        "no leader has published the newest version"
+    );
     fixture.set_view_version(3);
     fixture.wait_status("/none/1", KEY, 404).await;
     fixture.wait_status("/chat/1", "other", 401).await;
@@ -237,5 +244,5 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     let reports = fixture.other.count() - other;
-    assert!(reports >= COUNTED_REPORTS / 6, "{reports} reports to a controller that can help");
+    assert!(reports >= COUNTED_REPORTS / 6, "only {reports} reports reached the other controller");
 }
