--- a/tests/platform/backoff.rs
+++ b/tests/platform/backoff.rs
@@ -130,9 +130,9 @@
     tokio::join!(callers, until_stopped);
 }
 
-async fn wait_until(what: &str, system: &System, mut holds: impl FnMut() -> bool) {
+async fn wait_until(what: &str, system: &System, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + REUSE_TIMEOUT;
-    while !holds() {
+    while !condition() {
         assert!(Instant::now() < deadline, "{what}: {}", system.logs());
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/tests/platform/changes.rs
+++ b/tests/platform/changes.rs
@@ -129,17 +129,17 @@
     let first = version + 1;
     // Once the absence is detected, each later change must arrive as fast as the first one.
     let mut pending = vec![first, first + 40];
-    while let Some(wanted) = pending.first().copied() {
+    while let Some(awaited) = pending.first().copied() {
         version += 1;
         assert_eq!(system.replace(&grown_configuration(version)).await, 200);
         tokio::time::sleep(CHANGE_PAUSE).await;
-        if version >= wanted && knows_route(&system, absent, wanted).await {
+        if version >= awaited && knows_route(&system, absent, awaited).await {
             pending.remove(0);
         }
         assert!(
-            version < wanted + MAX_CHANGES,
+            version < awaited + MAX_CHANGES,
             "the gateway in the zone of controller {absent} still lacks version \
-             {wanted}, {MAX_CHANGES} changes later: {}",
+             {awaited}, {MAX_CHANGES} changes later: {}",
             system.logs()
         );
     }
--- a/tests/platform/crashing_burst.rs
+++ b/tests/platform/crashing_burst.rs
@@ -115,11 +115,11 @@
     tally.stop.store(false, Ordering::Relaxed);
     let others = (0..OTHERS).map(|caller| call_others(system, caller, tally));
     let others = futures_util::future::join_all(others);
-    let until_ended = async {
+    let until_stopped = async {
         other.await;
         tally.stop.store(true, Ordering::Relaxed);
     };
-    tokio::join!(others, until_ended);
+    tokio::join!(others, until_stopped);
 }
 
 #[rstest]
--- a/tests/platform/limit_check.rs
+++ b/tests/platform/limit_check.rs
@@ -126,8 +126,8 @@
 /// Returns a limit of 2 per second and one request from each gateway, answered with that limit.
 fn notified_gateways(start: Instant, count: usize) -> Vec<NoticeEvent> {
     let notified = |gateway| arrived(start, gateway, LIMITED);
-    let limits = NoticeEvent::LimitSet { worker: "w".to_owned(), limit: Some(2.0), at: start };
-    [limits].into_iter().chain((0..count).map(notified)).collect()
+    let limit_set = NoticeEvent::LimitSet { worker: "w".to_owned(), limit: Some(2.0), at: start };
+    [limit_set].into_iter().chain((0..count).map(notified)).collect()
 }
 
 fn arrived(at: Instant, gateway: usize, notice: WorkerNotice) -> NoticeEvent {
@@ -187,7 +187,7 @@
 #[case::falls_one_more(&[(4000, Some(0.0))], 12, 1)]
 #[case::rises(&[(4000, Some(4.0))], 23, 0)]
 #[case::rises_one_more(&[(4000, Some(4.0))], 24, 1)]
-#[case::ends(&[(4000, None)], 100, 0)]
+#[case::removed(&[(4000, None)], 100, 0)]
 #[case::named_anew(&[(1000, None), (1500, Some(2.0))], 18, 1)]
 fn find_limit_breaches_change(
     #[case] changes: &[(u64, Option<f64>)],
--- a/tests/platform/lost_power.rs
+++ b/tests/platform/lost_power.rs
@@ -41,10 +41,10 @@
 }
 
 async fn wait_for_voters(system: &System) {
-    let wanted = format!("controller_voters {CONTROLLERS}");
+    let expected = format!("controller_voters {CONTROLLERS}");
     for _ in 0..MAX_POLLS {
         let leader = find_leader(system).await;
-        if system.has_metric(leader, &wanted).await {
+        if system.has_metric(leader, &expected).await {
             return;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/tests/platform/observer.rs
+++ b/tests/platform/observer.rs
@@ -42,7 +42,7 @@
     /// Acknowledged versions with the time of acknowledgement.
     acknowledged_at: Mutex<Vec<(u64, Instant)>>,
     served: AtomicU64,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
 impl Observer {
@@ -66,12 +66,12 @@
     }
 
     /// Stops load, probes, changes and reads.
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
     pub fn report(&self, breach: String) {
@@ -153,7 +153,7 @@
     let stream: Arc<str> = stream.into();
     let mut number = 0usize;
     let mut calls = Vec::new();
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         number += 1;
         let (kind, path) =
             if number.is_multiple_of(3) { ("hold", "/hold/1") } else { ("chat", "/chat/1") };
@@ -176,7 +176,7 @@
 pub async fn send_changes(observer: Arc<Observer>, controllers: Vec<String>, first: u64) {
     let mut version = first;
     let mut added = Vec::new();
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         version += rand::rng().random_range(1..4);
         added.push(version);
         let content = configuration_with(version, &added);
@@ -203,7 +203,7 @@
 /// A gateway that is partitioned or has just started may answer that it does not know.
 pub async fn probe_routes(observer: Arc<Observer>, gateways: Vec<String>, first: u64) {
     let mut number = 0;
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         tokio::time::sleep(PROBE_PAUSE).await;
         number += 1;
         // The first version adds no route.
@@ -225,7 +225,7 @@
 /// Reads the configuration at one controller after the other until the observer is stopped.
 pub async fn read_changes(observer: Arc<Observer>, controllers: Vec<String>) {
     let mut number = 0;
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         number += 1;
         let before = observer.acknowledged();
         if let Some(read) = fetch_at(&controllers[number % controllers.len()]).await {
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -349,12 +349,15 @@
         let mut waiting = draw_disturbances(seed);
         let mut running: Vec<(Instant, Disturbance)> = Vec::new();
         while !waiting.is_empty() || !running.is_empty() {
-            let begins = waiting.first().map(|disturbance| start + disturbance.at);
-            let ends = running.iter().map(|(end, _)| *end).min();
-            let next =
-                begins.into_iter().chain(ends).min().expect("a disturbance is waiting or running");
+            let next_start = waiting.first().map(|disturbance| start + disturbance.at);
+            let next_end = running.iter().map(|(end, _)| *end).min();
+            let next = next_start
+                .into_iter()
+                .chain(next_end)
+                .min()
+                .expect("a disturbance is waiting or running");
             tokio::time::sleep_until(next).await;
-            if begins == Some(next) {
+            if next_start == Some(next) {
                 let disturbance = waiting.remove(0);
                 let begun = self.begin(&disturbance);
                 println!("seed {seed}: {disturbance:?} begun={begun}");
@@ -491,7 +494,7 @@
     let reads = tokio::spawn(read_changes(Arc::clone(&observer), controllers));
     soak.disturb(seed).await;
     soak.check_in_force(&observer).await;
-    observer.end();
+    observer.stop();
     for task in [load, probes, changes, reads] {
         task.await.expect("the observer task does not panic");
     }
--- a/tests/platform/system.rs
+++ b/tests/platform/system.rs
@@ -128,8 +128,8 @@
     }
 
     fn is_running(&mut self) -> bool {
-        let ended = |child: &mut Child| child.try_wait().is_ok_and(|status| status.is_some());
-        self.child.as_mut().is_some_and(|child| !ended(child))
+        let exited = |child: &mut Child| child.try_wait().is_ok_and(|status| status.is_some());
+        self.child.as_mut().is_some_and(|child| !exited(child))
     }
 }
 
@@ -282,8 +282,8 @@
     pub fn is_voter(&self, index: usize) -> bool {
         let daemon = &self.daemons[index];
         let log = std::fs::read_to_string(&daemon.log).unwrap_or_default();
-        let life = log.get(daemon.log_start..).unwrap_or_default();
-        let last = life.lines().rev().find(|line| line.contains("event=quorum"));
+        let current_log = log.get(daemon.log_start..).unwrap_or_default();
+        let last = current_log.lines().rev().find(|line| line.contains("event=quorum"));
         let ip = self.controllers[index].split(':').next().unwrap_or_default();
         last.is_some_and(|line| {
             line.contains(&format!("{ip}:")) && line.contains("lost_disk=false")
