--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -121,7 +121,11 @@
         if arrived >= 90 {
             break;
         }
-        assert!(Instant::now() < deadline, "{arrived}: {}", deployment.system.logs());
+        assert!(
+            Instant::now() < deadline,
+            "{arrived} requests arrived: {}",
+            deployment.system.logs()
+        );
     }
     assert_limits_kept(&deployment);
 }
--- a/tests/platform/limit_check.rs
+++ b/tests/platform/limit_check.rs
@@ -188,7 +188,7 @@
 #[case::rises(&[(4000, Some(4.0))], 23, 0)]
 #[case::rises_one_more(&[(4000, Some(4.0))], 24, 1)]
 #[case::removed(&[(4000, None)], 100, 0)]
-#[case::named_anew(&[(1000, None), (1500, Some(2.0))], 18, 1)]
+#[case::set_again(&[(1000, None), (1500, Some(2.0))], 18, 1)]
 fn find_limit_breaches_change(
     #[case] changes: &[(u64, Option<f64>)],
     #[case] count: usize,
--- a/tests/platform/notices.rs
+++ b/tests/platform/notices.rs
@@ -47,7 +47,7 @@
 }
 
 impl Arrival<'_> {
-    fn is_beside(&self, other: &Self) -> bool {
+    fn is_same_pair(&self, other: &Self) -> bool {
         self.worker == other.worker && self.gateway == other.gateway
     }
 }
@@ -75,7 +75,7 @@
     let mut breaches = Vec::new();
     for notice_arrival in &arrivals {
         let later = arrivals.iter().filter(|later| {
-            later.is_beside(notice_arrival)
+            later.is_same_pair(notice_arrival)
                 && !is_disturbed(events, notice_arrival.gateway, notice_arrival.at, later.at)
         });
         let since: Vec<Duration> =
