--- a/tests/platform/disturbance.rs
+++ b/tests/platform/disturbance.rs
@@ -1,67 +1,68 @@
-//! Disturbances of a soak, drawn from a seed.
+//! Disturbances of a soak run, drawn from a seed.
 //!
-//! Several series run over each other: each disturbance begins at a time of its own and lasts for
-//! a while, whatever else is under way. Disks are lost one at a time, since that is what the
-//! system is set up to bear.
+//! Several series overlap: each disturbance starts at its own time and lasts for a while,
+//! independent of the others. Disks are lost one at a time, since the system tolerates the loss of
+//! one.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Time in which disturbances begin.
+/// Time span in which disturbances start.
 pub const DISTURBED_TIME: Duration = Duration::from_secs(8);
-/// Series that run over each other.
+/// Number of overlapping series.
 const SERIES: usize = 3;
-/// Bounds of the length of a disturbance and of the pause after it, in milliseconds.
-const LENGTH_MS: (u64, u64) = (300, 2500);
+/// Bounds of the duration of a disturbance and of the pause after it, in milliseconds.
+const DURATION_MS: (u64, u64) = (300, 2500);
 const PAUSE_MS: (u64, u64) = (100, 1200);
 
-/// What is done to the system.
+/// Kind of a disturbance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisturbanceKind {
     /// A daemon is killed and started again.
     Kill,
-    /// A daemon stands still and goes on.
+    /// A daemon is suspended and resumed.
     Freeze,
-    /// A daemon is told to end, and started again.
+    /// A daemon is asked to shut down, and started again.
     Terminate,
     /// A controller is killed and its disk is lost.
     Wipe,
     /// All controllers are killed at once.
     KillControllers,
-    /// A daemon is cut off from all others.
-    CutOff,
-    /// One direction of a link is silent.
+    /// A daemon is partitioned from all others.
+    IsolateDaemon,
+    /// One direction of a link drops all traffic.
     SilenceLink,
     /// A link's connections are closed and refused.
-    CutLink,
+    CloseLink,
     /// A link is slow.
     DelayLink,
-    /// A worker ends, and another life comes.
+    /// A worker is killed, and a worker with another id replaces it.
     KillWorker,
-    /// A worker is cut off from controllers, while gateways reach it.
-    CutWorker,
-    /// A worker leaves orders unanswered and carries them out late.
+    /// A worker is partitioned from controllers, while gateways reach it.
+    PartitionWorker,
+    /// A worker leaves orders unanswered and executes them late.
     LateOrders,
-    /// A worker says that it leaves, ends, and another life comes.
+    /// A worker reports that it is leaving and terminates, and a worker with another id replaces
+    /// it.
     DrainWorker,
-    /// A worker ends, and starts again under its id after a while.
-    RebirthWorker,
-    /// A worker ends, and starts again under its id at once.
-    RebirthAtOnce,
-    /// Other writers use a worker's id.
+    /// A worker is killed, and started again with the same id after a while.
+    RestartWorker,
+    /// A worker is killed, and started again with the same id at once.
+    RestartWorkerAtOnce,
+    /// Other writers send records with a worker's id.
     ForeignRecords,
-    /// A request that ends the workers it runs on comes several times.
-    EndingRequest,
-    /// A worker turns requests away and asks for none for a while.
-    TurnAway,
-    /// A worker says in its answers that it leaves, and controllers hear of it only as it ends.
-    LeaveUnheard,
-    /// A worker names a limit for a while.
-    NameLimit,
-    /// Many copies of a request that ends the workers it runs on come at once.
-    EndingBurst,
+    /// A request that crashes the workers that run it is sent several times.
+    CrashingRequest,
+    /// A worker rejects requests and asks for a backoff for a while.
+    RejectRequests,
+    /// A worker states in its answers that it is leaving, and does not report it to controllers.
+    LeaveUnreported,
+    /// A worker states a request limit for a while.
+    SetLimit,
+    /// Many duplicates of a request that crashes the workers that run it are sent at once.
+    CrashingBurst,
     /// All daemons are killed at once, and one controller's disk is lost.
     LosePower,
 }
@@ -72,70 +73,72 @@
     DisturbanceKind::Terminate,
     DisturbanceKind::Wipe,
     DisturbanceKind::KillControllers,
-    DisturbanceKind::CutOff,
+    DisturbanceKind::IsolateDaemon,
     DisturbanceKind::SilenceLink,
-    DisturbanceKind::CutLink,
+    DisturbanceKind::CloseLink,
     DisturbanceKind::DelayLink,
     DisturbanceKind::KillWorker,
-    DisturbanceKind::CutWorker,
+    DisturbanceKind::PartitionWorker,
     DisturbanceKind::LateOrders,
     DisturbanceKind::DrainWorker,
 ];
 
-/// Kinds of a series of their own, drawn apart so that a seed keeps its other disturbances.
-const LIFE_KINDS: [DisturbanceKind; 4] = [
-    DisturbanceKind::RebirthWorker,
-    DisturbanceKind::RebirthAtOnce,
+/// Kinds of a separate series. It has its own seed, so that the other disturbances of a seed stay
+/// the same.
+const INSTANCE_KINDS: [DisturbanceKind; 4] = [
+    DisturbanceKind::RestartWorker,
+    DisturbanceKind::RestartWorkerAtOnce,
     DisturbanceKind::ForeignRecords,
-    DisturbanceKind::EndingRequest,
+    DisturbanceKind::CrashingRequest,
 ];
-/// What makes the seed of that series another one.
-const LIFE_SEED: u64 = 0x11fe;
-/// Kinds of a third sort of series, and its seed.
-const DEMAND_KINDS: [DisturbanceKind; 2] =
-    [DisturbanceKind::TurnAway, DisturbanceKind::LeaveUnheard];
-const DEMAND_SEED: u64 = 0xdead;
+/// Value that is combined with the seed of a run to seed that series.
+const INSTANCE_SEED: u64 = 0x11fe;
+/// Kinds of the series with notices of workers, and the value that seeds them.
+const NOTICE_KINDS: [DisturbanceKind; 2] =
+    [DisturbanceKind::RejectRequests, DisturbanceKind::LeaveUnreported];
+const NOTICE_SEED: u64 = 0xdead;
 
-/// Kinds of a fourth sort of series, and its seed.
-const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::NameLimit];
+/// Kinds of the series with request limits, and the value that seeds them.
+const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::SetLimit];
 const LIMIT_SEED: u64 = 0x1131;
 
-/// Kinds of a series of their own, since one of them leaves few workers for a while.
-const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::EndingBurst];
+/// Kinds of a separate series, since a burst leaves few workers for a while, and the value that
+/// seeds it.
+const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::CrashingBurst];
 const BURST_SEED: u64 = 0xb0057;
 
-/// What makes the seed of a loss of power another one, and when that comes.
-const POWER_SEED: u64 = 0x90e5;
-const POWER_MS: (u64, u64) = (2_000, 7_000);
-/// Bounds of the time for which power is away.
-const DARK_MS: (u64, u64) = (200, 1_500);
+/// Value that seeds the power loss, and the bounds of its start time.
+const POWER_LOSS_SEED: u64 = 0x90e5;
+const POWER_LOSS_AT_MS: (u64, u64) = (2_000, 7_000);
+/// Bounds of the duration of the power loss.
+const OUTAGE_MS: (u64, u64) = (200, 1_500);
 
 /// One disturbance.
 #[derive(Clone, Copy, Debug)]
 pub struct Disturbance {
-    /// When it begins.
+    /// Start time, relative to the start of the run.
     pub at: Duration,
-    /// For how long it lasts.
-    pub length: Duration,
-    /// What is done.
+    /// Time between start and end.
+    pub duration: Duration,
+    /// Kind of the disturbance.
     pub kind: DisturbanceKind,
-    /// Numbers by which daemons or workers are chosen.
+    /// Number that selects the daemon, the worker or the first end of a link.
     pub first: usize,
-    /// The second end of a link.
+    /// Number that selects the second end of a link, or other details of the disturbance.
     pub second: usize,
 }
 
-/// The disturbances of a seed, in the order in which they begin.
+/// Draws the disturbances of a seed, ordered by start time.
 pub fn draw_disturbances(seed: u64) -> Vec<Disturbance> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut drawn = Vec::new();
     for _ in 0..SERIES {
         draw_series(&mut rng, &KINDS, &mut drawn);
     }
-    draw_series(&mut ChaCha8Rng::seed_from_u64(seed ^ LIFE_SEED), &LIFE_KINDS, &mut drawn);
+    draw_series(&mut ChaCha8Rng::seed_from_u64(seed ^ INSTANCE_SEED), &INSTANCE_KINDS, &mut drawn);
     for series in 0..SERIES as u64 {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (DEMAND_SEED + series));
-        draw_series(&mut rng, &DEMAND_KINDS, &mut drawn);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (NOTICE_SEED + series));
+        draw_series(&mut rng, &NOTICE_KINDS, &mut drawn);
     }
     for series in 0..SERIES as u64 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (LIMIT_SEED + series));
@@ -149,10 +152,10 @@
 }
 
 fn draw_power_loss(seed: u64) -> Disturbance {
-    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ POWER_SEED);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ POWER_LOSS_SEED);
     Disturbance {
-        at: draw_ms(&mut rng, POWER_MS),
-        length: draw_ms(&mut rng, DARK_MS),
+        at: draw_ms(&mut rng, POWER_LOSS_AT_MS),
+        duration: draw_ms(&mut rng, OUTAGE_MS),
         kind: DisturbanceKind::LosePower,
         first: rng.random_range(0..1000),
         second: rng.random_range(0..1000),
@@ -162,15 +165,15 @@
 fn draw_series(rng: &mut ChaCha8Rng, kinds: &[DisturbanceKind], drawn: &mut Vec<Disturbance>) {
     let mut at = draw_ms(rng, PAUSE_MS);
     while at < DISTURBED_TIME {
-        let length = draw_ms(rng, LENGTH_MS);
+        let duration = draw_ms(rng, DURATION_MS);
         drawn.push(Disturbance {
             at,
-            length,
+            duration,
             kind: kinds[rng.random_range(0..kinds.len())],
             first: rng.random_range(0..1000),
             second: rng.random_range(0..1000),
         });
-        at += length + draw_ms(rng, PAUSE_MS);
+        at += duration + draw_ms(rng, PAUSE_MS);
     }
 }
 
--- a/tests/platform/limit.rs
+++ b/tests/platform/limit.rs
@@ -1,7 +1,7 @@
-//! Workers that name the requests a second that they take from all gateways together.
+//! Workers that state a limit in requests per second, which applies to all gateways together.
 //!
-//! Heads of replicas named 1.8 and 3.1 a second and went on to get 6 and 8: gateways did not read
-//! it, and a worker with few requests is the best one to choose.
+//! Guards against gateways that ignore the limit: heads of replicas stated 1.8 and 3.1 per second
+//! and still got 6 and 8, since a worker with few requests is the preferred choice.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,24 +9,25 @@
 use rstest::rstest;
 use tokio::time::Instant;
 
-use crate::demands::DemandEvent;
 use crate::limit_check::find_limit_breaches;
+use crate::notices::NoticeEvent;
 use crate::system::{CONTROLLERS, KEY, Layout, Signal, call_gateway};
-use crate::worker::{Worker, request_by};
+use crate::worker::{Worker, request_id_via};
 use crate::{Deployment, deploy_with};
 
-/// Gateways of each system; callers reach all of them alike.
+/// Number of gateways of each system. Callers use all of them equally.
 const GATEWAYS: usize = 6;
-/// Plain workers of a system.
+/// Number of plain workers of a system.
 const PLAIN_WORKERS: usize = 10;
-/// Pause between two requests of all callers together.
+/// Pause between two requests, over all callers.
 const REQUEST_PAUSE: Duration = Duration::from_millis(10);
-/// Time for which a plain worker works on a request.
-const WORK: Duration = Duration::from_millis(20);
-/// Time for which requests come: one in which limits need not be kept yet, and a whole window.
+/// Time that a plain worker takes for each request.
+const SERVICE_TIME: Duration = Duration::from_millis(20);
+/// Duration of the load. It covers the time in which limits are not enforced yet and a complete
+/// window.
 const LOAD_TIME: Duration = Duration::from_secs(9);
 
-/// A system with plain workers beside those of replicas.
+/// Starts a system with plain workers in addition to those of replicas.
 async fn deploy_plain(block: u8) -> (Deployment, Vec<Arc<Worker>>) {
     let layout = Layout { gateways: GATEWAYS as u8, ..Layout::plain() };
     let deployment = deploy_with(block, layout).await;
@@ -35,15 +36,15 @@
         let id = format!("p{number}");
         plain.push(Worker::start(&deployment.fleet, &id, "bookings", false));
     }
-    plain.iter().for_each(|worker| worker.set_work(WORK));
+    plain.iter().for_each(|worker| worker.set_service_time(SERVICE_TIME));
     for gateway in 0..GATEWAYS {
         deployment.system.call_gateway_until_served(gateway, "/hold/1", "warm").await;
     }
     (deployment, plain)
 }
 
-/// Callers that send to all gateways in turn at an even pace, whatever comes of it; how many were
-/// served.
+/// Sends requests to all gateways in turn at a constant rate, independent of the answers, and
+/// returns how many were served.
 async fn send_evenly(deployment: &Deployment, path: &'static str, time: Duration) -> usize {
     let end = Instant::now() + time;
     let mut pace = tokio::time::interval(REQUEST_PAUSE);
@@ -53,7 +54,7 @@
         pace.tick().await;
         let gateway = number % GATEWAYS;
         let address = deployment.system.gateways[gateway].clone();
-        let id = request_by(gateway, &format!("even-{number}"));
+        let id = request_id_via(gateway, &format!("even-{number}"));
         calls.push(tokio::spawn(async move {
             let answer = call_gateway(&address, path, &id, Some(KEY)).await;
             answer.is_ok_and(|answer| answer.status().as_u16() == 200)
@@ -62,14 +63,14 @@
     }
     let mut served = 0;
     for call in calls {
-        served += usize::from(call.await.expect("it does not fail"));
+        served += usize::from(call.await.expect("the call task does not panic"));
     }
     println!("{served} of {number} served");
     served
 }
 
 fn assert_limits_kept(deployment: &Deployment) {
-    let breaches = find_limit_breaches(&deployment.fleet.demands());
+    let breaches = find_limit_breaches(&deployment.fleet.notice_events());
     assert!(breaches.is_empty(), "{breaches:#?}: {}", deployment.system.logs());
 }
 
@@ -78,24 +79,24 @@
 #[case::all(61, &["3", "3", "3", "3", "3", "3", "3", "3", "3", "3"])]
 #[case::nothing_allowed(62, &["0", "0.05"])]
 #[tokio::test]
-async fn limit_kept_over_gateways(#[case] block: u8, #[case] limits: &[&'static str]) {
+async fn limit_kept_across_gateways(#[case] block: u8, #[case] limits: &[&'static str]) {
     let (deployment, plain) = deploy_plain(block).await;
     for (worker, limit) in plain.iter().zip(limits) {
-        worker.name_limit(Some(limit));
+        worker.set_limit(Some(limit));
     }
     let served = send_evenly(&deployment, "/hold/1", LOAD_TIME).await;
     assert!(served > 0, "{}", deployment.system.logs());
     assert_limits_kept(&deployment);
 }
 
-/// A limit that falls holds for what gateways knew of the former one too.
+/// A lower limit also applies to the allowance that gateways computed from the former limit.
 #[rstest]
 #[tokio::test]
 async fn limit_kept_while_falling() {
     let (deployment, plain) = deploy_plain(63).await;
     let fall = async {
         for limit in ["20", "4", "1"] {
-            plain.iter().take(3).for_each(|worker| worker.name_limit(Some(limit)));
+            plain.iter().take(3).for_each(|worker| worker.set_limit(Some(limit)));
             tokio::time::sleep(LOAD_TIME / 3).await;
         }
     };
@@ -103,60 +104,64 @@
     assert_limits_kept(&deployment);
 }
 
-/// Workers that name no limit any more are used as before.
+/// Workers that withdraw their limit are used as before.
 #[rstest]
 #[tokio::test]
-async fn limit_ends() {
+async fn limit_withdrawn() {
     let (deployment, plain) = deploy_plain(64).await;
-    plain.iter().for_each(|worker| worker.name_limit(Some("1")));
+    plain.iter().for_each(|worker| worker.set_limit(Some("1")));
     send_evenly(&deployment, "/hold/1", LOAD_TIME / 3).await;
-    plain.iter().for_each(|worker| worker.name_limit(None));
-    // One answer without the limit tells a gateway, and it tells the others.
+    plain.iter().for_each(|worker| worker.set_limit(None));
+    // One answer without the limit reaches a gateway, which publishes it to the others.
     let deadline = Instant::now() + LOAD_TIME * 3;
     loop {
-        let from = deployment.fleet.demands().len();
+        let from = deployment.fleet.notice_events().len();
         send_evenly(&deployment, "/hold/1", Duration::from_secs(1)).await;
-        let came = deployment.fleet.demands().len() - from;
-        if came >= 90 {
+        let arrived = deployment.fleet.notice_events().len() - from;
+        if arrived >= 90 {
             break;
         }
-        assert!(Instant::now() < deadline, "{came}: {}", deployment.system.logs());
+        assert!(
+            Instant::now() < deadline,
+            "{arrived} requests arrived: {}",
+            deployment.system.logs()
+        );
     }
     assert_limits_kept(&deployment);
 }
 
-/// What disturbs a system while workers name limits.
+/// Fault in a system while workers state limits.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// All controllers end, and nobody tells gateways of each other.
+enum Fault {
+    /// All controllers are killed, so that gateways receive no state of each other.
     LostControllers,
-    /// One gateway ends and another one stands still for a while.
+    /// One gateway is killed and another one is suspended for a while.
     LostGateways,
 }
 
 #[rstest]
-#[case::controllers(65, Trouble::LostControllers)]
-#[case::gateways(66, Trouble::LostGateways)]
+#[case::controllers(65, Fault::LostControllers)]
+#[case::gateways(66, Fault::LostGateways)]
 #[tokio::test]
-async fn limit_kept_under_trouble(#[case] block: u8, #[case] trouble: Trouble) {
+async fn limit_kept_under_faults(#[case] block: u8, #[case] fault: Fault) {
     let (deployment, plain) = deploy_plain(block).await;
     for (worker, limit) in plain.iter().zip(["2", "0.7", "5"]) {
-        worker.name_limit(Some(limit));
+        worker.set_limit(Some(limit));
     }
     let disturb = async {
         tokio::time::sleep(LOAD_TIME / 3).await;
         let system = &deployment.system;
-        match trouble {
-            Trouble::LostControllers => {
+        match fault {
+            Fault::LostControllers => {
                 (0..CONTROLLERS).for_each(|daemon| system.signal(daemon, Signal::Kill));
             }
-            Trouble::LostGateways => {
+            Fault::LostGateways => {
                 system.signal(CONTROLLERS, Signal::Kill);
                 system.signal(CONTROLLERS + 1, Signal::Stop);
-                note_disturbed(&deployment, 1);
+                record_disturbed(&deployment, 1);
                 tokio::time::sleep(LOAD_TIME / 6).await;
                 system.signal(CONTROLLERS + 1, Signal::Continue);
-                note_disturbed(&deployment, 1);
+                record_disturbed(&deployment, 1);
             }
         }
     };
@@ -164,22 +169,22 @@
     assert_limits_kept(&deployment);
 }
 
-fn note_disturbed(deployment: &Deployment, gateway: usize) {
-    deployment.fleet.note_demand(DemandEvent::Disturbed { gateway, at: Instant::now() });
+fn record_disturbed(deployment: &Deployment, gateway: usize) {
+    deployment.fleet.record_notice_event(NoticeEvent::Disturbed { gateway, at: Instant::now() });
 }
 
-/// Heads of replicas, of which some name limits; streams are sent to them.
+/// Some heads of replicas state limits while streams are sent.
 #[rstest]
 #[tokio::test]
 async fn limit_kept_towards_heads() {
     let (mut deployment, _) = deploy_plain(67).await;
-    // With a spare there is room for a third replica.
+    // With a spare worker a third replica can form.
     let spare = Worker::start(&deployment.fleet, "spare", "models", true);
     deployment.engines.push(spare);
     crate::wait_for_replicas(&deployment, 3).await;
     let heads = deployment.engines.iter().filter(|engine| engine.is_open_head());
     for (head, limit) in heads.zip(["1.8", "3"]) {
-        head.name_limit(Some(limit));
+        head.set_limit(Some(limit));
     }
     let served = send_evenly(&deployment, "/chat/1", LOAD_TIME).await;
     assert!(served > 0, "{}", deployment.system.logs());
--- a/tests/platform/observer.rs
+++ b/tests/platform/observer.rs
@@ -1,4 +1,4 @@
-//! Callers and operators of a soak, and what they saw that must not be.
+//! Callers and operators of a soak run. They record violated invariants.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,7 +14,7 @@
 use crate::changes::{added_path, configuration_with};
 use crate::fleet::Fleet;
 use crate::system::{KEY, call_gateway, fetch_at, replace_at};
-use crate::worker::request_by;
+use crate::worker::request_id_via;
 
 /// Pause between two requests of the load.
 const REQUEST_PAUSE: Duration = Duration::from_millis(20);
@@ -22,26 +22,27 @@
 const CHANGE_PAUSE: Duration = Duration::from_millis(250);
 /// Pause between two requests for routes that changes have added.
 const PROBE_PAUSE: Duration = Duration::from_millis(50);
-/// Time after its acknowledgement in which a change has to be in force, or not to be denied.
-const IN_FORCE_TIME: Duration = Duration::from_millis(2000);
-/// Pause between two reads of it.
+/// Time after the acknowledgement of a change from which on no gateway may deny the route that it
+/// adds.
+const IN_FORCE_DEADLINE: Duration = Duration::from_millis(2000);
+/// Pause between two reads of the configuration.
 const READ_PAUSE: Duration = Duration::from_millis(120);
 
-/// What callers and operators saw.
+/// Records of what callers and operators observed.
 #[derive(Default)]
 pub struct Observer {
     breaches: Mutex<Vec<String>>,
-    /// Requests that may run once, and were told to have not run.
+    /// Non-idempotent requests that were answered as not run.
     refused: Mutex<Vec<String>>,
-    /// Every configuration that was sent, by version.
+    /// Configurations that were sent, by version.
     sent: Mutex<BTreeMap<u64, Value>>,
     acknowledged: AtomicU64,
     /// Changes that were acknowledged.
     changes: AtomicU64,
-    /// When each of them was.
+    /// Acknowledged versions with the time of acknowledgement.
     acknowledged_at: Mutex<Vec<(u64, Instant)>>,
     served: AtomicU64,
-    ended: AtomicBool,
+    stopped: AtomicBool,
 }
 
 impl Observer {
@@ -49,40 +50,40 @@
         Arc::default()
     }
 
-    /// Requests that were answered with success.
+    /// Returns the number of requests that were answered with 200.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
-    /// Highest version that was acknowledged.
+    /// Returns the highest acknowledged version.
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// Number of changes that were acknowledged.
+    /// Returns the number of acknowledged changes.
     pub fn changes(&self) -> u64 {
         self.changes.load(Ordering::SeqCst)
     }
 
-    /// Has load and changes stop.
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    /// Stops load, probes, changes and reads.
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
     pub fn report(&self, breach: String) {
         lock(&self.breaches).push(breach);
     }
 
-    /// Everything that must not be, with what the workers counted.
+    /// Returns all violated invariants, including those found in the records of the workers.
     pub fn breaches(&self, fleet: &Fleet) -> Vec<String> {
         let mut breaches = lock(&self.breaches).clone();
         breaches.extend(fleet.breaches());
         for id in lock(&self.refused).iter().filter(|id| fleet.runs(id) > 0) {
-            breaches.push(format!("{id} was told not to have run, and ran"));
+            breaches.push(format!("{id} was reported as not run, and ran"));
         }
         for (id, runs) in fleet.all_runs() {
             if id.starts_with("hold") && runs > 1 {
@@ -92,26 +93,26 @@
         breaches
     }
 
-    /// Notes a configuration that goes out, or may have.
-    pub fn note_sent(&self, version: u64, content: &Value) {
+    /// Records a configuration before it is sent.
+    pub fn record_sent(&self, version: u64, content: &Value) {
         lock(&self.sent).insert(version, content.clone());
     }
 
-    /// Notes that a version was acknowledged.
-    pub fn note_acknowledged(&self, version: u64) {
+    /// Records that a version was acknowledged.
+    pub fn record_acknowledged(&self, version: u64) {
         self.acknowledged.fetch_max(version, Ordering::SeqCst);
         lock(&self.acknowledged_at).push((version, Instant::now()));
         self.changes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// The newest version that has to be in force; none before the first.
+    /// Returns the newest version that must be in force, or `None` before the first.
     fn in_force(&self) -> Option<u64> {
         let acknowledged = lock(&self.acknowledged_at);
-        let due = acknowledged.iter().filter(|(_, at)| at.elapsed() > IN_FORCE_TIME);
+        let due = acknowledged.iter().filter(|(_, at)| at.elapsed() > IN_FORCE_DEADLINE);
         due.map(|(version, _)| *version).max()
     }
 
-    /// Checks what was read after a version had been acknowledged.
+    /// Checks a configuration that was read after the version `before` had been acknowledged.
     pub fn check_read(&self, before: u64, read: &Value) {
         let version = read["version"].as_u64().unwrap_or_default();
         if version < before {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Checks one answer.
+    /// Checks one answer against the expected body and status.
     fn check_answer(&self, id: &str, stream: &str, answer: &Response<Bytes>) {
         let status = answer.status().as_u16();
         let body = String::from_utf8_lossy(answer.body());
@@ -147,17 +148,17 @@
     mutex.lock().expect("not poisoned")
 }
 
-/// Sends requests to all gateways in turn until the observer ends.
+/// Sends requests to all gateways in turn until the observer is stopped.
 pub async fn send_load(observer: Arc<Observer>, gateways: Vec<String>, stream: String) {
     let stream: Arc<str> = stream.into();
     let mut number = 0usize;
     let mut calls = Vec::new();
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         number += 1;
         let (kind, path) =
             if number.is_multiple_of(3) { ("hold", "/hold/1") } else { ("chat", "/chat/1") };
         let index = number % gateways.len();
-        let id = request_by(index, &format!("{kind}-{number}"));
+        let id = request_id_via(index, &format!("{kind}-{number}"));
         let gateway = gateways[index].clone();
         let (observer, stream) = (Arc::clone(&observer), Arc::clone(&stream));
         calls.push(tokio::spawn(async move {
@@ -170,22 +171,23 @@
     futures_util::future::join_all(calls).await;
 }
 
-/// Changes the configuration again and again, at whichever controller, until the observer ends.
+/// Sends configuration changes, each at a randomly chosen controller first, until the observer is
+/// stopped.
 pub async fn send_changes(observer: Arc<Observer>, controllers: Vec<String>, first: u64) {
     let mut version = first;
     let mut added = Vec::new();
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         version += rand::rng().random_range(1..4);
         added.push(version);
         let content = configuration_with(version, &added);
-        observer.note_sent(version, &content);
+        observer.record_sent(version, &content);
         let body = Bytes::from(content.to_string());
         let start = rand::rng().random_range(0..controllers.len());
         for offset in 0..controllers.len() {
             let controller = &controllers[(start + offset) % controllers.len()];
             match replace_at(controller, &body).await {
                 200 => {
-                    observer.note_acknowledged(version);
+                    observer.record_acknowledged(version);
                     break;
                 }
                 0 | 307 | 503 => {}
@@ -196,12 +198,12 @@
     }
 }
 
-/// Asks gateways in turn for the route that the newest change has added that has to be in force.
+/// Requests, at all gateways in turn, the newest added route that must be in force.
 ///
-/// They may be cut off or have just started: then they cannot know, and say so.
+/// A gateway that is partitioned or has just started may answer that it does not know.
 pub async fn probe_routes(observer: Arc<Observer>, gateways: Vec<String>, first: u64) {
     let mut number = 0;
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         tokio::time::sleep(PROBE_PAUSE).await;
         number += 1;
         // The first version adds no route.
@@ -209,23 +211,21 @@
             continue;
         };
         let gateway = number % gateways.len();
-        let id = request_by(gateway, &format!("probe-{number}"));
+        let id = request_id_via(gateway, &format!("probe-{number}"));
         let path = added_path(version);
         let Ok(answer) = call_gateway(&gateways[gateway], &path, &id, Some(KEY)).await else {
             continue;
         };
         if matches!(answer.status().as_u16(), 401 | 404) {
-            observer.report(format!(
-                "gateway {gateway} says that the route of version {version} does not exist"
-            ));
+            observer.report(format!("gateway {gateway} denies the route of version {version}"));
         }
     }
 }
 
-/// Reads the configuration at one controller after the other until the observer ends.
+/// Reads the configuration at one controller after the other until the observer is stopped.
 pub async fn read_changes(observer: Arc<Observer>, controllers: Vec<String>) {
     let mut number = 0;
-    while !observer.has_ended() {
+    while !observer.is_stopped() {
         number += 1;
         let before = observer.acknowledged();
         if let Some(read) = fetch_at(&controllers[number % controllers.len()]).await {
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -1,4 +1,5 @@
-//! Stand-in workers that speak the platform's protocol: they register, take orders, and serve.
+//! Stand-in workers that speak the platform's protocol: they register, execute orders and serve
+//! requests.
 
 mod orders;
 
@@ -20,94 +21,94 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::demands::{DemandEvent, WorkerWord};
 use crate::fleet::{Fleet, Membership};
+use crate::notices::{NoticeEvent, WorkerNotice};
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 30;
 /// Pause between two events.
 const EVENT_PAUSE: Duration = Duration::from_millis(20);
 const HEARTBEAT: Duration = Duration::from_millis(200);
 const LIMITS: HttpLimits = HttpLimits { head_bytes: 16 << 10, idle: Duration::from_secs(15) };
 
-/// Body of a request that ends each worker that begins to run it.
-pub const ENDS_WORKER: &[u8] = b"{\"ends\": \"worker\"}";
-/// Time for which such a request runs before its worker ends.
-const ENDING_TIME: Duration = Duration::from_millis(40);
-/// Time after which another life of such a worker comes.
+/// Body of a request that crashes each worker that runs it.
+pub const CRASHING_BODY: &[u8] = b"{\"ends\": \"worker\"}";
+/// Run time of a crashing request before its worker terminates.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
+/// Delay after which a new worker replaces a crashed one.
 const RESTART_TIME: Duration = Duration::from_millis(600);
 
-/// Start of the first life of each worker that tells it, in Unix milliseconds.
-pub const FIRST_BORN: u64 = 1_764_720_000_000;
+/// Start time of the first instance of each worker that reports it, in Unix milliseconds.
+pub const FIRST_START_MS: u64 = 1_764_720_000_000;
 
-/// Identity of a request that tells by which gateway it comes.
-pub fn request_by(gateway: usize, name: &str) -> String {
+/// Returns a request id that names the gateway through which the request is sent.
+pub fn request_id_via(gateway: usize, name: &str) -> String {
     format!("{name}-by{gateway}")
 }
 
-/// The gateway by which a request comes, where it tells.
+/// Returns the gateway through which a request was sent, if its id names one.
 fn gateway_of(request: &str) -> Option<usize> {
     request.rsplit_once("-by")?.1.parse().ok()
 }
 
-/// Bytes of one event of a stream.
+/// Returns one event of a stream.
 pub fn event(number: u64) -> String {
     format!("id: {number}\ndata: token {number}\n\n")
 }
 
-/// Time for which a head without a member stands still before it breaks off.
-const STALL_TIME: Duration = Duration::from_millis(1500);
-/// How late a worker that leaves orders unanswered carries them out.
-const LATE_TIME: Duration = Duration::from_millis(900);
+/// Time for which a stream stalls at a head that lacks a member, before the stream is truncated.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay with which a worker executes orders that it leaves unanswered.
+const ORDER_DELAY: Duration = Duration::from_millis(900);
 
 #[derive(Default)]
 struct WorkerState {
     model: Option<String>,
     membership: Option<Membership>,
-    /// Highest epoch and fence seen in this life.
+    /// Highest epoch and fence seen by this instance.
     highest: (u64, u64),
 }
 
-/// A request that came to a worker.
+/// A request that arrived at a worker.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
-    /// For how long the worker asked for no more requests, where it turned this one away.
+    /// Backoff that the worker asked for when it rejected this request.
     pub backoff: Option<Duration>,
 }
 
-/// One worker.
+/// One instance of a stand-in worker.
 pub struct Worker {
     pub id: String,
-    /// Unix milliseconds of its start, where it tells that.
-    born: Option<u64>,
+    /// Start time in Unix milliseconds, if the worker reports it.
+    start_ms: Option<u64>,
     address: String,
     service: &'static str,
     engine: bool,
     zone: &'static str,
     seq: AtomicU64,
     stopped: AtomicBool,
-    /// Whether controllers neither hear of it nor reach it.
-    cut: AtomicBool,
-    /// Whether it leaves orders unanswered and carries them out late.
-    late: AtomicBool,
-    /// Whether it says that it leaves.
+    /// Whether it is partitioned from controllers in both directions.
+    partitioned: AtomicBool,
+    /// Whether it leaves orders unanswered and executes them after a delay.
+    late_orders: AtomicBool,
+    /// Whether it reports that it is leaving.
     leaving: AtomicBool,
-    /// Whether it leaves, and what it tells controllers does not say so yet.
-    leaving_unheard: AtomicBool,
-    /// Whether it has deregistered, and only serves on.
-    gone: AtomicBool,
-    /// Whether its events come at half the usual rate.
+    /// Whether it is leaving, which its answers state but its heartbeats do not.
+    leaving_unreported: AtomicBool,
+    /// Whether it has deregistered. It still serves requests.
+    deregistered: AtomicBool,
+    /// Whether it streams events at half the usual rate.
     slow: AtomicBool,
-    /// Whether it runs requests without a word.
-    mute: AtomicBool,
-    /// Time for which a plain worker works on a request.
-    work: Mutex<Duration>,
-    /// What it says to each request that it turns away, while it turns all away.
-    turns_away: Mutex<Option<Duration>>,
-    /// The limit that it names in its answers, as it stands there.
+    /// Whether it runs requests and never answers them.
+    unresponsive: AtomicBool,
+    /// Time that a plain worker takes for each request.
+    service_time: Mutex<Duration>,
+    /// Backoff that it asks for in each answer while it rejects all requests.
+    rejection_backoff: Mutex<Option<Duration>>,
+    /// The limit header of its answers, verbatim.
     limit: Mutex<Option<&'static str>>,
-    /// Requests that came, in order.
+    /// Requests that arrived, in order.
     arrivals: Mutex<Vec<Arrival>>,
     state: Mutex<WorkerState>,
     fleet: Arc<Fleet>,
@@ -115,7 +116,7 @@
 }
 
 impl Worker {
-    /// Starts a worker on a port of the kernel's choice.
+    /// Starts a worker in zone `a` on a port that the kernel chooses.
     pub fn start(fleet: &Arc<Fleet>, id: &str, service: &'static str, engine: bool) -> Arc<Self> {
         Self::start_in(fleet, id, service, engine, "a")
     }
@@ -128,38 +129,38 @@
         engine: bool,
         zone: &'static str,
     ) -> Arc<Self> {
-        Self::start_life(fleet, id, (service, engine, zone), None, "127.0.0.1:0")
+        Self::start_instance(fleet, id, (service, engine, zone), None, "127.0.0.1:0")
     }
 
-    /// Starts one life of a worker at an address.
-    fn start_life(
+    /// Starts one instance of a worker at an address.
+    fn start_instance(
         fleet: &Arc<Fleet>,
         id: &str,
         (service, engine, zone): (&'static str, bool, &'static str),
-        born: Option<u64>,
+        start_ms: Option<u64>,
         address: &str,
     ) -> Arc<Self> {
         let listener = bind_http(address).expect("the port is free");
-        let address = listener.local_addr().expect("it is bound").to_string();
+        let address = listener.local_addr().expect("the listener is bound").to_string();
         let (stop, stopped) = watch::channel(false);
         let worker = Arc::new(Self {
             id: id.to_owned(),
-            born,
+            start_ms,
             address,
             service,
             engine,
             zone,
             seq: AtomicU64::new(0),
             stopped: AtomicBool::new(false),
-            cut: AtomicBool::new(false),
-            late: AtomicBool::new(false),
+            partitioned: AtomicBool::new(false),
+            late_orders: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            leaving_unheard: AtomicBool::new(false),
-            gone: AtomicBool::new(false),
+            leaving_unreported: AtomicBool::new(false),
+            deregistered: AtomicBool::new(false),
             slow: AtomicBool::new(false),
-            mute: AtomicBool::new(false),
-            work: Mutex::default(),
-            turns_away: Mutex::default(),
+            unresponsive: AtomicBool::new(false),
+            service_time: Mutex::default(),
+            rejection_backoff: Mutex::default(),
             limit: Mutex::default(),
             arrivals: Mutex::default(),
             state: Mutex::default(),
@@ -167,173 +168,179 @@
             stop,
         });
         tokio::spawn(serve_http(listener, stopped, Arc::clone(&worker)));
-        tokio::spawn(Arc::clone(&worker).beat());
+        tokio::spawn(Arc::clone(&worker).send_heartbeats());
         worker
     }
 
-    /// Starts a worker that tells when it was born.
-    pub fn start_born(
+    /// Starts a worker that reports its start time.
+    pub fn start_with_start_time(
         fleet: &Arc<Fleet>,
         id: &str,
         service: &'static str,
         engine: bool,
         zone: &'static str,
     ) -> Arc<Self> {
-        Self::start_life(fleet, id, (service, engine, zone), Some(FIRST_BORN), "127.0.0.1:0")
-    }
-
-    /// Ends the worker without a word and starts it again under its id after a while, at the same
-    /// address or another one; it then knows nothing of before.
-    pub async fn start_again(&self, after: Duration, moved: bool) -> Arc<Self> {
+        Self::start_instance(
+            fleet,
+            id,
+            (service, engine, zone),
+            Some(FIRST_START_MS),
+            "127.0.0.1:0",
+        )
+    }
+
+    /// Kills the worker and, after a delay, starts a new instance with the same id, at the same
+    /// address or another one. The new instance keeps no state.
+    pub async fn restart_after(&self, after: Duration, moved: bool) -> Arc<Self> {
         self.kill();
         tokio::time::sleep(after).await;
-        self.start_next(moved)
+        self.start_next_instance(moved)
     }
 
-    /// Starts the next life of a worker that has ended.
-    pub fn start_next(&self, moved: bool) -> Arc<Self> {
+    /// Starts the next instance of a worker that was killed.
+    pub fn start_next_instance(&self, moved: bool) -> Arc<Self> {
         if let Some(epoch) = self.epoch() {
-            self.fleet.note_left(epoch, &self.id);
+            self.fleet.record_left(epoch, &self.id);
         }
-        self.fleet.note_alive(&self.id);
-        let born = self.born.map(|born| born + 1000);
+        self.fleet.record_restarted(&self.id);
+        let start_ms = self.start_ms.map(|start_ms| start_ms + 1000);
         let kind = (self.service, self.engine, self.zone);
         let address = if moved { "127.0.0.1:0" } else { &self.address };
-        Self::start_life(&self.fleet, &self.id, kind, born, address)
+        Self::start_instance(&self.fleet, &self.id, kind, start_ms, address)
     }
 
-    /// Heartbeats that this life has sent.
-    pub fn beats(&self) -> u64 {
+    /// Returns the number of heartbeats that this instance has sent.
+    pub fn heartbeats_sent(&self) -> u64 {
         self.seq.load(Ordering::Relaxed)
     }
 
-    /// Epoch of its replica, if it is a member of one.
+    /// Returns the epoch of its replica, if it is a member of one.
     pub fn epoch(&self) -> Option<u64> {
-        self.lock().membership.as_ref().map(|held| held.epoch)
+        self.lock().membership.as_ref().map(|membership| membership.epoch)
     }
 
-    /// Ends the worker without a word; its replica stands still.
+    /// Terminates the worker without notice. Its replica stalls.
     pub fn kill(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.fleet.note_dead(&self.id);
+        self.fleet.record_stopped(&self.id);
         self.fleet.set_closed(&self.id);
         self.stop.send_replace(true);
     }
 
-    /// Ends under a request; another life comes after a while.
-    async fn end_under_request(self: Arc<Self>, path: String) {
-        tokio::time::sleep(ENDING_TIME).await;
+    /// Terminates the worker while it runs a request, and starts another worker after a delay.
+    async fn crash_under_request(self: Arc<Self>, path: String) {
+        tokio::time::sleep(CRASH_DELAY).await;
         if self.is_stopped() {
             return;
         }
         self.kill();
-        let number = self.fleet.note_ended(path);
+        let number = self.fleet.record_crash(path);
         tokio::time::sleep(RESTART_TIME).await;
         let id = format!("{}-{number}", self.id);
         Self::start_in(&self.fleet, &id, self.service, self.engine, self.zone);
     }
 
-    /// Whether controllers neither hear of it nor reach it.
-    pub fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    /// Sets whether the worker is partitioned from controllers in both directions.
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    /// Whether it leaves orders unanswered and carries them out late.
-    pub fn set_late(&self, late: bool) {
-        self.late.store(late, Ordering::Relaxed);
+    /// Sets whether it leaves orders unanswered and executes them after a delay.
+    pub fn set_late_orders(&self, late_orders: bool) {
+        self.late_orders.store(late_orders, Ordering::Relaxed);
     }
 
-    /// Says from now on that it leaves.
+    /// Reports from now on that it is leaving.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Leaves from now on, while controllers still hear what it said before.
-    pub fn leave_unheard(&self) {
-        self.leaving_unheard.store(true, Ordering::Relaxed);
+    /// Reports from now on in its answers, but not in its heartbeats, that it is leaving.
+    pub fn leave_unreported(&self) {
+        self.leaving_unreported.store(true, Ordering::Relaxed);
     }
 
-    /// Has its events come at half the usual rate.
+    /// Streams events at half the usual rate from now on.
     pub fn set_slow(&self) {
         self.slow.store(true, Ordering::Relaxed);
     }
 
-    /// Has it run requests and never answer them.
-    pub fn set_mute(&self) {
-        self.mute.store(true, Ordering::Relaxed);
+    /// Runs requests without answering them from now on.
+    pub fn set_unresponsive(&self) {
+        self.unresponsive.store(true, Ordering::Relaxed);
     }
 
-    /// Has a plain worker take this time for each request.
-    pub fn set_work(&self, work: Duration) {
-        *self.work.lock().expect("not poisoned") = work;
+    /// Sets the time that a plain worker takes for each request.
+    pub fn set_service_time(&self, service_time: Duration) {
+        *self.service_time.lock().expect("not poisoned") = service_time;
     }
 
-    /// Has it turn all requests away and ask for no more for this time, or serve again.
-    pub fn turn_away(&self, backoff: Option<Duration>) {
-        *self.turns_away.lock().expect("not poisoned") = backoff;
+    /// Rejects all requests with this backoff, or with `None` serves requests again.
+    pub fn set_rejecting(&self, backoff: Option<Duration>) {
+        *self.rejection_backoff.lock().expect("not poisoned") = backoff;
     }
 
-    /// Has it name a limit in all its answers, or none.
-    pub fn name_limit(&self, limit: Option<&'static str>) {
+    /// Sets or removes the limit that its answers state.
+    pub fn set_limit(&self, limit: Option<&'static str>) {
         *self.limit.lock().expect("not poisoned") = limit;
-        let (worker, limit) = (self.life(), limit.and_then(|text| text.parse().ok()));
-        self.fleet.note_demand(DemandEvent::Named { worker, limit, at: Instant::now() });
+        let (worker, limit) = (self.instance_name(), limit.and_then(|text| text.parse().ok()));
+        self.fleet.record_notice_event(NoticeEvent::LimitSet { worker, limit, at: Instant::now() });
     }
 
-    fn named_limit(&self) -> Option<&'static str> {
+    fn current_limit(&self) -> Option<&'static str> {
         *self.limit.lock().expect("not poisoned")
     }
 
-    /// Name of this life in the record of what comes to workers.
-    fn life(&self) -> String {
-        format!("{} born {:?}", self.id, self.born)
+    /// Returns the name of this instance in the recorded notice events.
+    fn instance_name(&self) -> String {
+        format!("{} started at {:?}", self.id, self.start_ms)
     }
 
-    /// Requests that came, in order.
+    /// Returns the requests that arrived, in order.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.arrivals.lock().expect("not poisoned").clone()
     }
 
-    /// Notes a request that came; for how long no more are wanted, where it is turned away.
-    fn note_arrival(&self, request: &str) -> Option<Duration> {
-        let backoff = *self.turns_away.lock().expect("not poisoned");
+    /// Records a request that arrived. Returns the backoff to ask for if the worker rejects it.
+    fn record_arrival(&self, request: &str) -> Option<Duration> {
+        let backoff = *self.rejection_backoff.lock().expect("not poisoned");
         if let Some(gateway) = gateway_of(request) {
-            let worker = self.life();
-            let limit = self.named_limit().and_then(|text| text.parse().ok());
-            let word = WorkerWord { backoff, leaving: self.is_leaving(), limit };
+            let worker = self.instance_name();
+            let limit = self.current_limit().and_then(|text| text.parse().ok());
+            let notice = WorkerNotice { backoff, leaving: self.is_leaving(), limit };
             let at = Instant::now();
-            self.fleet.note_demand(DemandEvent::Came { worker, gateway, at, word });
+            self.fleet.record_notice_event(NoticeEvent::Arrived { worker, gateway, at, notice });
         }
         let arrival = Arrival { at: Instant::now(), backoff };
         self.arrivals.lock().expect("not poisoned").push(arrival);
         backoff
     }
 
-    /// Whether it is about to end, which it says in all its answers.
+    /// Returns whether the worker is leaving, which all its answers state.
     fn is_leaving(&self) -> bool {
-        let flags = [&self.leaving, &self.leaving_unheard, &self.gone];
+        let flags = [&self.leaving, &self.leaving_unreported, &self.deregistered];
         flags.iter().any(|flag| flag.load(Ordering::Relaxed))
     }
 
-    /// Says that it goes, without having said that it leaves, and serves on for a while.
+    /// Deregisters without having reported that it is leaving, and still serves requests.
     pub async fn deregister(&self) {
-        self.gone.store(true, Ordering::Relaxed);
-        let told = self.born.map(|born| json!({"born": born}).to_string());
-        self.tell_controllers("deregister", told.unwrap_or_default().into()).await;
+        self.deregistered.store(true, Ordering::Relaxed);
+        let body = self.start_ms.map(|start_ms| json!({"born": start_ms}).to_string());
+        self.call_controllers("deregister", body.unwrap_or_default().into()).await;
     }
 
-    /// Whether it was killed.
+    /// Returns whether it was killed.
     pub fn is_stopped(&self) -> bool {
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// State of its replica, if it is a member of one.
+    /// Returns the name of its replica and its state there, if it is a member of one.
     pub fn membership(&self) -> Option<(String, &'static str)> {
         let state = self.lock();
-        state.membership.as_ref().map(|held| (held.name.clone(), held.state))
+        state.membership.as_ref().map(|membership| (membership.name.clone(), membership.state))
     }
 
-    /// Whether it is the head of a replica that serves.
+    /// Returns whether it is the head of a replica that serves.
     pub fn is_open_head(&self) -> bool {
         self.membership().is_some_and(|(_, state)| state == "open")
     }
@@ -342,31 +349,32 @@
         self.state.lock().expect("not poisoned")
     }
 
-    async fn beat(self: Arc<Self>) {
+    async fn send_heartbeats(self: Arc<Self>) {
         while !self.stopped.load(Ordering::Relaxed) {
             self.register().await;
             tokio::time::sleep(HEARTBEAT).await;
         }
     }
 
-    /// Registers at the first controller that takes it.
+    /// Sends a heartbeat to the first controller that accepts it.
     async fn register(&self) {
-        let silent = self.cut.load(Ordering::Relaxed) || self.gone.load(Ordering::Relaxed);
+        let silent =
+            self.partitioned.load(Ordering::Relaxed) || self.deregistered.load(Ordering::Relaxed);
         if self.is_stopped() || silent {
             return;
         }
-        self.tell_controllers("heartbeat", self.heartbeat().to_string().into()).await;
+        self.call_controllers("heartbeat", self.heartbeat().to_string().into()).await;
     }
 
-    /// Makes a call of this worker at the first controller that takes it.
-    async fn tell_controllers(&self, call: &str, body: Bytes) {
+    /// Sends a call of this worker to the first controller that accepts it.
+    async fn call_controllers(&self, call: &str, body: Bytes) {
         for controller in &self.fleet.controllers {
             let request = Request::builder()
                 .method(Method::POST)
                 .uri(format!("/-/instances/{}/{call}", self.id))
                 .header("host", controller)
                 .body(Full::new(body.clone()))
-                .expect("the request is sound");
+                .expect("the request is valid");
             let answer = call_once(controller, request, Duration::from_secs(1)).await;
             if answer.is_ok_and(|answer| answer.status().is_success()) {
                 return;
@@ -379,16 +387,16 @@
         let state = self.lock();
         let models: Vec<Value> =
             state.model.iter().map(|name| json!({"name": name, "version": 1})).collect();
-        let group = state.membership.as_ref().map(|held| {
-            let rank = held.members.iter().position(|member| *member == self.id);
-            json!({"name": held.name, "epoch": held.epoch, "rank": rank, "state": held.state})
+        let group = state.membership.as_ref().map(|membership| {
+            let rank = membership.members.iter().position(|member| *member == self.id);
+            json!({"name": membership.name, "epoch": membership.epoch, "rank": rank, "state": membership.state})
         });
         let leaving = self.leaving.load(Ordering::Relaxed);
-        let told = if leaving { "draining" } else { "ready" };
+        let reported_state = if leaving { "draining" } else { "ready" };
         let mut body = json!({"service": self.service, "address": self.address, "zone": self.zone,
-            "version": "v1", "cold_left_ms": 0, "slots": 8, "state": told, "seq": seq + 1, "models": models, "group": group});
-        if let Some(born) = self.born {
-            body["born"] = json!(born);
+            "version": "v1", "cold_left_ms": 0, "slots": 8, "state": reported_state, "seq": seq + 1, "models": models, "group": group});
+        if let Some(start_ms) = self.start_ms {
+            body["born"] = json!(start_ms);
         }
         if self.engine {
             body["domain"] = json!(format!("{}-d0", self.zone));
@@ -397,11 +405,11 @@
         body
     }
 
-    /// Whether the replica that this worker heads lacks a member.
-    fn stands_still(&self) -> bool {
+    /// Returns whether the replica of this worker lacks a member.
+    fn is_stalled(&self) -> bool {
         let state = self.lock();
-        let Some(held) = &state.membership else { return false };
-        held.members.iter().any(|member| self.fleet.is_missing(held.epoch, member))
+        let Some(membership) = &state.membership else { return false };
+        membership.members.iter().any(|member| self.fleet.is_missing(membership.epoch, member))
     }
 
     fn answer_request(self: &Arc<Self>, head: &Parts, body: &[u8]) -> HttpAnswer {
@@ -414,37 +422,43 @@
         if self.is_leaving() {
             builder = builder.header("server-leaving", "1");
         }
-        if let Some(limit) = self.named_limit() {
+        if let Some(limit) = self.current_limit() {
             builder = builder.header("server-limit", limit);
         }
-        let held = self.lock().membership.clone().filter(|held| held.state == "open");
-        if header("target-instance") != self.id || (self.engine && held.is_none()) {
-            return builder.status(421).body(AnswerBody::complete("")).expect("sound");
+        let membership =
+            self.lock().membership.clone().filter(|membership| membership.state == "open");
+        if header("target-instance") != self.id || (self.engine && membership.is_none()) {
+            return builder
+                .status(421)
+                .body(AnswerBody::complete(""))
+                .expect("the response is valid");
         }
-        if let Some(backoff) = self.note_arrival(&id) {
+        if let Some(backoff) = self.record_arrival(&id) {
             let builder = builder.status(503).header("not-executed", "1");
             let builder = builder.header("retry-after", backoff.as_secs_f64().to_string());
-            return builder.body(AnswerBody::complete("")).expect("sound");
+            return builder.body(AnswerBody::complete("")).expect("the response is valid");
         }
-        if let Some(held) = &held {
-            self.fleet.check_whole(held, &id);
+        if let Some(membership) = &membership {
+            self.fleet.check_complete(membership, &id);
         }
-        self.fleet.note_run(&id, held.as_ref().map(|held| held.epoch));
+        self.fleet.record_run(&id, membership.as_ref().map(|membership| membership.epoch));
         let builder = builder.header("response-signature", format!("{}.1", self.id));
-        if body == ENDS_WORKER {
+        if body == CRASHING_BODY {
             let path = head.uri.path().to_owned();
-            self.fleet.note_ending_run(&path);
-            tokio::spawn(Arc::clone(self).end_under_request(path));
-            // The head goes out, and no event.
-            let cut = unfold((), |()| async {
-                tokio::time::sleep(ENDING_TIME).await;
+            self.fleet.record_crashing_run(&path);
+            tokio::spawn(Arc::clone(self).crash_under_request(path));
+            // Sends the head of the answer, but no event.
+            let truncated = unfold((), |()| async {
+                tokio::time::sleep(CRASH_DELAY).await;
                 Some((Err(TruncatedAnswerError), ()))
             });
-            return builder.body(AnswerBody::Chunks(Box::pin(cut))).expect("sound");
+            return builder
+                .body(AnswerBody::Chunks(Box::pin(truncated)))
+                .expect("the response is valid");
         }
         if !self.engine {
             let body = format!("tenant {} request {id}", header("tenant"));
-            return builder.body(AnswerBody::complete(body)).expect("sound");
+            return builder.body(AnswerBody::complete(body)).expect("the response is valid");
         }
         let after: u64 = header("last-event-id").parse().unwrap_or_default();
         let worker = Arc::clone(self);
@@ -460,8 +474,8 @@
                     return Some((Err(TruncatedAnswerError), EVENTS + 1));
                 }
                 let since = Instant::now();
-                while worker.stands_still() {
-                    if since.elapsed() > STALL_TIME {
+                while worker.is_stalled() {
+                    if since.elapsed() > STALL_TIMEOUT {
                         return Some((Err(TruncatedAnswerError), EVENTS + 1));
                     }
                     tokio::time::sleep(EVENT_PAUSE).await;
@@ -470,7 +484,7 @@
             }
         });
         let builder = builder.header("content-type", "text/event-stream");
-        builder.body(AnswerBody::Chunks(Box::pin(events))).expect("sound")
+        builder.body(AnswerBody::Chunks(Box::pin(events))).expect("the response is valid")
     }
 }
 
@@ -483,41 +497,47 @@
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let control = head.uri.path().starts_with("/-/");
-        if control && self.cut.load(Ordering::Relaxed) {
+        if control && self.partitioned.load(Ordering::Relaxed) {
             tokio::time::sleep(LIMITS.idle).await;
         }
         let other = head.headers.get("target-instance").is_some_and(|id| *id != self.id);
         if control && other {
-            return Response::builder().status(421).body(AnswerBody::complete("")).expect("sound");
+            return Response::builder()
+                .status(421)
+                .body(AnswerBody::complete(""))
+                .expect("the response is valid");
         }
         match head.uri.path() {
             "/-/order" => {
                 let order = serde_json::from_slice(&body).unwrap_or_default();
-                if self.late.load(Ordering::Relaxed) {
+                if self.late_orders.load(Ordering::Relaxed) {
                     let worker = Arc::clone(&self);
                     tokio::spawn(async move {
-                        tokio::time::sleep(LATE_TIME).await;
+                        tokio::time::sleep(ORDER_DELAY).await;
                         if !worker.is_stopped() {
-                            worker.take_order(&order);
+                            worker.handle_order(&order);
                         }
                     });
                     tokio::time::sleep(LIMITS.idle).await;
                     return Response::new(AnswerBody::complete(""));
                 }
-                let status = self.take_order(&order);
-                Response::builder().status(status).body(AnswerBody::complete("{}")).expect("sound")
+                let status = self.handle_order(&order);
+                Response::builder()
+                    .status(status)
+                    .body(AnswerBody::complete("{}"))
+                    .expect("the response is valid")
             }
             "/-/report" => {
-                let told = self.born.map_or(json!({}), |born| json!({"born": born}));
-                Response::new(AnswerBody::complete(told.to_string()))
+                let report = self.start_ms.map_or(json!({}), |start_ms| json!({"born": start_ms}));
+                Response::new(AnswerBody::complete(report.to_string()))
             }
             _ => {
                 let answer = self.answer_request(&head, &body);
                 if answer.status().is_success() {
-                    let work = *self.work.lock().expect("not poisoned");
-                    tokio::time::sleep(work).await;
+                    let service_time = *self.service_time.lock().expect("not poisoned");
+                    tokio::time::sleep(service_time).await;
                 }
-                if self.mute.load(Ordering::Relaxed) {
+                if self.unresponsive.load(Ordering::Relaxed) {
                     tokio::time::sleep(LIMITS.idle).await;
                 }
                 answer
