--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -38,12 +38,12 @@
         ModelConfig { token: Duration::from_millis(26), batch: 2000, ..ModelConfig::default() };
     let fleet = FleetConfig::new(&[ZoneId::from("a")], 2, 3).with_model(model);
     let cluster = small_cluster(&zones, fleet).await?;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 1,
         "count": 6, "selector": {"match_labels": {"given": "hollowbarrow"}}}});
-    cluster.change("a0", "group", &group).await;
+    cluster.submit_change("a0", "group", &group).await;
     ensure!(cluster.wait_serving("a0", "drafts", 6).await, "the group does not serve");
-    let door = cluster.callers("a0");
+    let door = cluster.caller_address("a0");
     let pid = cluster.pid("a0").context("a0 runs")?;
     let sizes: &'static [usize] = &[8, 40, 160, 400];
     let mut memory = Vec::new();
@@ -135,12 +135,12 @@
         json!({"put_group": {"name": "spread", "model": "m", "version": round.to_string(),
             "size": 1, "count": 0, "selector": {}}})
     };
-    cluster.change("a0", "first", &group(0)).await;
+    cluster.submit_change("a0", "first", &group(0)).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let (mut medians, mut worsts) = (Vec::new(), Vec::new());
     for round in 1..=RUNS {
         let begun = Instant::now();
-        let reply = cluster.change("b0", &format!("round {round}"), &group(round)).await;
+        let reply = cluster.submit_change("b0", &format!("round {round}"), &group(round)).await;
         ensure!(reply.status == 200, "a change was refused: {}", reply.body);
         let mut times = wait_everywhere(&cluster, round, begun).await?;
         times.sort_by(f64::total_cmp);
@@ -179,7 +179,7 @@
     while !waiting.is_empty() {
         ensure!(begun.elapsed() < Duration::from_secs(60), "{waiting:?} do not follow");
         for id in waiting.clone() {
-            let groups = cluster.read(&id, "/groups").await;
+            let groups = cluster.read_operator_api(&id, "/groups").await;
             if groups[0]["spec"]["version"] == version.as_str() {
                 times.push(begun.elapsed().as_secs_f64() * 1000.0);
                 waiting.remove(&id);
@@ -191,7 +191,7 @@
 
 /// Bytes of messages that a daemon has sent and received.
 async fn peer_bytes(cluster: &Cluster, id: &str) -> f64 {
-    let reply = cluster.operate(id, hyper::Method::GET, "/metrics", &json!(null)).await;
+    let reply = cluster.call_operator_api(id, hyper::Method::GET, "/metrics", &json!(null)).await;
     let lines = reply.body.lines().filter(|line| line.starts_with("hollowbarrow_peer_bytes"));
     lines.filter_map(|line| line.split_whitespace().last()?.parse::<f64>().ok()).sum()
 }
--- a/crates/measure/src/doors.rs
+++ b/crates/measure/src/doors.rs
@@ -91,11 +91,11 @@
     let mut gaps = TimeSeries::new();
     let mut whole = 0;
     for reply in &replies {
-        whole += usize::from(reply.whole && reply.body.len() == TOKENS * TOKEN.len());
-        if let Some(time) = reply.first {
+        whole += usize::from(reply.complete && reply.body.len() == TOKENS * TOKEN.len());
+        if let Some(time) = reply.first_byte {
             first.note(time);
         }
-        for pair in reply.pieces.windows(2) {
+        for pair in reply.chunk_times.windows(2) {
             gaps.note(pair[1] - pair[0]);
         }
     }
@@ -113,8 +113,8 @@
         "door={kind} first_token_alone_ms={:.1} pieces_alone={} streams={STREAMS} whole={whole} \
          first_token_p95_ms={:.1} token_gap_p95_ms={:.1} cpu_ms_per_stream={:.2} kb_per_stream={:.1} \
          idle_connections={IDLE} idle_threads={} kb_per_idle={:.1}",
-        one.first.unwrap_or_default().as_secs_f64() * 1000.0,
-        one.pieces.len(),
+        one.first_byte.unwrap_or_default().as_secs_f64() * 1000.0,
+        one.chunk_times.len(),
         first.quantile_ms(0.95),
         gaps.quantile_ms(0.95),
         (cpu_after - cpu_before) * 1000.0 / STREAMS as f64,
--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -118,7 +118,7 @@
     load.abort();
     let history = cluster.fleet().history().to_vec();
     let incomplete = history.iter().filter(|run| run.missing_ms > LEASE_MS).count();
-    let overridden = cluster.fleet().overridden();
+    let overridden = cluster.fleet().stale_orders_accepted();
     let repair = sampled.repair_s.map_or("never".to_owned(), |repair| format!("{repair:.2}"));
     let served = history.len();
     Ok(format!(
@@ -135,7 +135,8 @@
 /// Keeps asking for short completions through all daemons, so that a replica that serves when
 /// it must not is caught at it.
 fn spawn_load(cluster: &Cluster, wanted: &WantedGroups) -> tokio::task::JoinHandle<()> {
-    let doors: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let doors: Vec<SocketAddr> =
+        cluster.ids().iter().map(|id| cluster.caller_address(id)).collect();
     let models: Vec<String> = wanted.keys().cloned().collect();
     tokio::spawn(async move {
         for number in 0_usize.. {
@@ -153,7 +154,7 @@
 
 async fn start_cluster(case: &str, policy: UserPolicy) -> Result<Cluster> {
     let zones = ["a", "b", "c"].map(ZoneId::from);
-    let fleet = FleetConfig::new(&zones, 2, 4).with_unchecked(true);
+    let fleet = FleetConfig::new(&zones, 2, 4).with_unfenced_nodes(true);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
     let program = std::env::current_exe().context("the measurement knows its own program")?;
     let arguments: &[&str] =
@@ -165,9 +166,9 @@
     }
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     for (number, group) in policy.groups().iter().enumerate() {
-        let reply = cluster.change("b1", &format!("group {number}"), group).await;
+        let reply = cluster.submit_change("b1", &format!("group {number}"), group).await;
         ensure!(reply.status == 200, "a group was refused: {}", reply.body);
     }
     for group in policy.groups() {
@@ -194,7 +195,7 @@
 }
 
 async fn status_of(cluster: &Cluster, id: &str, field: &str) -> Result<String> {
-    let status = cluster.read(id, "/status").await;
+    let status = cluster.read_operator_api(id, "/status").await;
     let value = status[field].as_str().map(str::to_owned);
     value.with_context(|| format!("{id} knows no {field}"))
 }
@@ -219,7 +220,7 @@
         "member_returns" => {
             cluster.fleet().kill(&members[1]);
             sample(cluster, wanted, second, sampled).await;
-            cluster.fleet().revive_unchanged(&members[1]);
+            cluster.fleet().restart_with_state(&members[1]);
         }
         "second_loss" => {
             cluster.fleet().kill(&members[0]);
@@ -250,37 +251,37 @@
             sample(cluster, wanted, second * 5, sampled).await;
             cluster.resume(&leader);
         }
-        "leader_cut_silently" => cluster.set_daemon_links(&leader, FaultMode::Silence),
+        "leader_cut_silently" => cluster.set_daemon_links(&leader, FaultMode::Blackhole),
         "zone_cut" => {
-            cluster.set_zone_links(&far, FaultMode::Silence);
+            cluster.set_zone_links(&far, FaultMode::Blackhole);
             sample(cluster, wanted, second * 6, sampled).await;
             cluster.set_zone_links(&far, FaultMode::Pass);
         }
         "zone_cut_one_way" => {
             for from in cluster.ids_in(&far) {
                 for to in cluster.ids().iter().filter(|id| !id.starts_with('c')) {
-                    cluster.set_link(&from, to, FaultMode::Silence);
+                    cluster.set_link(&from, to, FaultMode::Blackhole);
                 }
             }
         }
         "links_delayed" => cluster.set_all_links(FaultMode::Delay(Duration::from_millis(60))),
-        "links_damaged" => cluster.set_all_links(FaultMode::Damage),
+        "links_damaged" => cluster.set_all_links(FaultMode::Corrupt),
         "disk_full" => {
             for number in 0..150 {
                 let command = json!({"change_labels": {"node": *members[0],
                     "set": {"round": number.to_string()}}});
-                let reply = cluster.change("b1", &format!("fill {number}"), &command).await;
+                let reply = cluster.submit_change("b1", &format!("fill {number}"), &command).await;
                 ensure!(reply.status == 200, "a full disk of one voter stopped the log");
             }
-            let fault = cluster.read("a0", "/status").await["fault"].clone();
+            let fault = cluster.read_operator_api("a0", "/status").await["fault"].clone();
             ensure!(fault.is_string(), "the voter with the full disk does not say so: {fault}");
         }
         "leader_cut_and_member_killed" => {
-            cluster.set_daemon_links(&leader, FaultMode::Silence);
+            cluster.set_daemon_links(&leader, FaultMode::Blackhole);
             cluster.fleet().kill(&members[0]);
         }
         _ => {
-            cluster.set_zone_links(&far, FaultMode::Silence);
+            cluster.set_zone_links(&far, FaultMode::Blackhole);
             let own = some_members(cluster, wanted, "c").await?;
             cluster.fleet().kill(&own[0]);
         }
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -183,7 +183,7 @@
         let door = doors[(first + attempt as usize * 4) % doors.len()];
         let reply = call.send(door).await;
         // A caller sees from the framing that an answer was cut off, and asks again.
-        let done = reply.status == 200 && reply.whole;
+        let done = reply.status == 200 && reply.complete;
         replies.push(reply);
         if done {
             break;
@@ -203,7 +203,7 @@
 ) {
     let Some(last) = replies.last() else { return };
     outcome.resent += replies.len() as u64 - 1;
-    if last.status == 200 && last.whole {
+    if last.status == 200 && last.complete {
         judge_answer(kind, key, shared, last, outcome);
     } else {
         match last.ran().as_str() {
@@ -247,10 +247,10 @@
                 return;
             }
             outcome.tokens += u64::from(STREAM_TOKENS);
-            if let Some(first) = reply.first {
+            if let Some(first) = reply.first_byte {
                 outcome.first_token.note(first);
             }
-            for pair in reply.pieces.windows(2) {
+            for pair in reply.chunk_times.windows(2) {
                 outcome.token_gap.note(pair[1] - pair[0]);
             }
             tokens == expected
--- a/crates/measure/src/requests.rs
+++ b/crates/measure/src/requests.rs
@@ -75,11 +75,11 @@
         .with_limits(json!({"streams": places}));
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
-    cluster.label_all().await;
+    cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 3,
         "count": count, "urgency": "urgent",
         "selector": {"match_labels": {"given": "hollowbarrow"}}}});
-    let reply = cluster.change("b1", "group", &group).await;
+    let reply = cluster.submit_change("b1", "group", &group).await;
     ensure!(reply.status == 200, "the group was refused: {}", reply.body);
     for id in cluster.ids() {
         ensure!(cluster.wait_serving(&id, "drafts", u64::from(count)).await, "it does not serve");
@@ -95,7 +95,8 @@
     let mut cluster = start_cluster(6, slow_engine(), places).await?;
     let doubled = saturated || case == "load_doubled";
     let rate = if doubled { RATE * 2.0 } else { RATE };
-    let doors: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let doors: Vec<SocketAddr> =
+        cluster.ids().iter().map(|id| cluster.caller_address(id)).collect();
     let naive = naive_doors(&cluster).await?;
     let plan = LoadPlan { mix, doors, rate, time: LOAD_TIME, seed: 7 };
     let load = tokio::spawn(drive(plan.clone()));
@@ -107,7 +108,7 @@
     let (doubled, false_not_run) = outcome.check_holds(cluster.fleet().history());
     let incomplete =
         cluster.fleet().history().to_vec().iter().filter(|run| run.missing_ms > 900).count();
-    let late = cluster.fleet().history().to_vec().iter().filter(|run| run.late).count();
+    let late = cluster.fleet().history().to_vec().iter().filter(|run| run.past_deadline).count();
     // The naive way is measured under the same kind of fault, on a fresh cluster's upstreams.
     let naive = run_naive(case, mix, &cluster, naive).await;
     Ok(format!(
@@ -142,11 +143,11 @@
         "entry_killed" => cluster.kill("b1"),
         "entry_paused" => cluster.pause("b1"),
         "claims_leader_killed" => {
-            let status = cluster.read("b1", "/status").await;
+            let status = cluster.read_operator_api("b1", "/status").await;
             let leader = status["claims_leader"].as_str().unwrap_or("a0").to_owned();
             cluster.kill(&leader);
         }
-        "zone_cut" => cluster.set_zone_links(&ZoneId::from("c"), FaultMode::Silence),
+        "zone_cut" => cluster.set_zone_links(&ZoneId::from("c"), FaultMode::Blackhole),
         "links_slow" => cluster.set_all_links(FaultMode::Delay(Duration::from_millis(40))),
         _ => {}
     }
@@ -229,7 +230,7 @@
 async fn measure_door() -> Result<String> {
     let cluster = start_cluster(3, ModelConfig::default(), MANY_PLACES).await?;
     let direct = naive_doors(&cluster).await?.services[0];
-    let door = cluster.callers("a1");
+    let door = cluster.caller_address("a1");
     let reads = LoadMix { name: "door_reads", streams: 0, reads: 1000, holds: 0 };
     let time = Duration::from_secs(6);
     let plan = |doors, rate, seed| LoadPlan { mix: reads, doors, rate, time, seed };
--- a/crates/measure/src/sampler.rs
+++ b/crates/measure/src/sampler.rs
@@ -108,7 +108,7 @@
 async fn count_reverted(cluster: &Cluster, revisions: &mut BTreeMap<(String, String), u64>) -> u32 {
     let ids: Vec<String> = cluster.ids().into_iter().filter(|id| cluster.is_running(id)).collect();
     let reads = ids.into_iter().map(|id| async move {
-        let groups = cluster.read(&id, "/groups").await;
+        let groups = cluster.read_operator_api(&id, "/groups").await;
         (id, groups)
     });
     let mut reverted = 0;
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -23,13 +23,13 @@
     /// Body, as far as it came.
     pub body: String,
     /// Whether the answer's framing says that it is whole.
-    pub whole: bool,
+    pub complete: bool,
     /// Whether the request's connection was made at all.
     pub connected: bool,
     /// Time until the first byte of the body.
-    pub first: Option<Duration>,
+    pub first_byte: Option<Duration>,
     /// Arrival of each piece of the body.
-    pub pieces: Vec<Instant>,
+    pub chunk_times: Vec<Instant>,
     /// Time until the end.
     pub total: Duration,
 }
@@ -145,14 +145,14 @@
         loop {
             match body.frame().await {
                 None => {
-                    reply.whole = true;
+                    reply.complete = true;
                     break;
                 }
                 Some(Err(_)) => break,
                 Some(Ok(frame)) => {
                     let now = Instant::now();
-                    reply.first.get_or_insert(now - begun);
-                    reply.pieces.push(now);
+                    reply.first_byte.get_or_insert(now - begun);
+                    reply.chunk_times.push(now);
                     bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
                     // Kept up to date, so that a caller that gives up knows what it had.
                     reply.body = String::from_utf8_lossy(&bytes).into_owned();
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -211,7 +211,7 @@
                 let Some(address) = self.fleet.address(&node) else { continue };
                 if self.config.proxies && self.fleet.zone(&node).as_ref() != Some(zone) {
                     let proxy = FaultProxy::start(address, seed);
-                    self.fleet.set_detour(zone, &node, proxy.address());
+                    self.fleet.override_address(zone, &node, proxy.address());
                     self.detours.insert((zone.clone(), node), proxy);
                 }
             }
@@ -246,7 +246,7 @@
                 "data": data.map(|data| data.to_string_lossy().into_owned()),
                 "peers": listed,
                 "cluster_keys": ["test-cluster-key-1"],
-                "platform": self.fleet.platform_url_from(zone),
+                "platform": self.fleet.platform_url_for(zone),
                 "organisations": [{"id": "campers", "keys": [{"sha256": keys::hash_key(CALLER_KEY)}],
                     "tokens_per_second": 10_000_000, "concurrent": 100_000}],
                 "operators": [{"name": "tests", "keys": [{"sha256": keys::hash_key(OPERATOR_KEY)}]}],
@@ -308,7 +308,7 @@
     }
 
     /// Where a daemon takes callers.
-    pub fn callers(&self, id: &str) -> SocketAddr {
+    pub fn caller_address(&self, id: &str) -> SocketAddr {
         self.daemons[self.position(id)].callers
     }
 
@@ -328,7 +328,7 @@
     }
 
     /// Folder of a daemon's state, if it has a disk.
-    pub fn data(&self, id: &str) -> Option<&Path> {
+    pub fn data_folder(&self, id: &str) -> Option<&Path> {
         self.daemons[self.position(id)].data.as_deref()
     }
 
@@ -410,7 +410,13 @@
     }
 
     /// Asks a daemon's operators' interface.
-    pub async fn operate(&self, id: &str, method: Method, path: &str, body: &Value) -> CallReply {
+    pub async fn call_operator_api(
+        &self,
+        id: &str,
+        method: Method,
+        path: &str,
+        body: &Value,
+    ) -> CallReply {
         let address = self.daemons[self.position(id)].operators;
         let text = if body.is_null() { String::new() } else { body.to_string() };
         CallerCall::new(method, path, OPERATOR_KEY)
@@ -421,7 +427,7 @@
     }
 
     /// Reads a page of a daemon's operators' interface, null where it does not answer in time.
-    pub async fn read(&self, id: &str, path: &str) -> Value {
+    pub async fn read_operator_api(&self, id: &str, path: &str) -> Value {
         let address = self.daemons[self.position(id)].operators;
         let call = CallerCall::new(Method::GET, path, OPERATOR_KEY)
             .with_timeout(Duration::from_millis(500));
@@ -430,11 +436,11 @@
     }
 
     /// Submits a change through a daemon until it is accepted.
-    pub async fn change(&self, id: &str, change_id: &str, command: &Value) -> CallReply {
+    pub async fn submit_change(&self, id: &str, change_id: &str, command: &Value) -> CallReply {
         let body = json!({"id": change_id, "author": "tests", "command": command});
         let begun = Instant::now();
         loop {
-            let reply = self.operate(id, Method::POST, "/changes", &body).await;
+            let reply = self.call_operator_api(id, Method::POST, "/changes", &body).await;
             let again = matches!(reply.status, 0 | 503 | 504);
             if !again || begun.elapsed() > PATIENCE {
                 return reply;
@@ -444,19 +450,19 @@
     }
 
     /// Gives all nodes to hollowbarrow.
-    pub async fn label_all(&self) {
+    pub async fn label_all_nodes(&self) {
         let first = self.ids()[0].clone();
         for node in self.fleet.model_nodes() {
             let command =
                 json!({"change_labels": {"node": *node, "set": {"given": "hollowbarrow"}}});
-            let reply = self.change(&first, &format!("label {}", *node), &command).await;
+            let reply = self.submit_change(&first, &format!("label {}", *node), &command).await;
             assert_eq!(reply.status, 200, "a label was refused: {}", reply.body);
         }
     }
 
     /// Number of a group's replicas that serve, as a daemon sees it.
-    pub async fn serving(&self, id: &str, group: &str) -> u64 {
-        let groups = self.read(id, "/groups").await;
+    pub async fn serving_count(&self, id: &str, group: &str) -> u64 {
+        let groups = self.read_operator_api(id, "/groups").await;
         let found = groups.as_array().into_iter().flatten().find(|g| g["spec"]["name"] == group);
         found.and_then(|group| group["serving"].as_u64()).unwrap_or(0)
     }
@@ -464,7 +470,7 @@
     /// Waits until a daemon sees a number of a group's replicas serve; false when it gives up.
     pub async fn wait_serving(&self, id: &str, group: &str, wanted: u64) -> bool {
         let begun = Instant::now();
-        while self.serving(id, group).await != wanted {
+        while self.serving_count(id, group).await != wanted {
             if begun.elapsed() > PATIENCE {
                 return false;
             }
@@ -480,7 +486,7 @@
             loop {
                 let call = CallerCall::new(Method::GET, "/ready", CALLER_KEY)
                     .with_timeout(Duration::from_secs(1));
-                if call.send(self.callers(&id)).await.status == 200 {
+                if call.send(self.caller_address(&id)).await.status == 200 {
                     break;
                 }
                 assert!(
@@ -495,7 +501,7 @@
 
     /// Serving replicas that a daemon knows of: group, zone and members.
     pub async fn serving_replicas(&self, id: &str, group: &str) -> Vec<(String, Vec<String>)> {
-        let explained = self.read(id, &format!("/explain/{group}")).await;
+        let explained = self.read_operator_api(id, &format!("/explain/{group}")).await;
         let replicas = explained["replicas"].as_array().cloned().unwrap_or_default();
         replicas
             .iter()
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -65,7 +65,7 @@
     }
 
     /// Makes every second node take orders without checking their epoch.
-    pub fn with_unchecked(mut self, unchecked: bool) -> Self {
+    pub fn with_unfenced_nodes(mut self, unchecked: bool) -> Self {
         self.unchecked = unchecked;
         self
     }
@@ -178,12 +178,12 @@
     }
 
     /// URL of the list as a zone sees it, with the detours set for that zone.
-    pub fn platform_url_from(&self, zone: &ZoneId) -> String {
+    pub fn platform_url_for(&self, zone: &ZoneId) -> String {
         format!("{}?{}", self.platform_url(), **zone)
     }
 
     /// Makes a zone's list give another address for a node, as of a proxy between zones.
-    pub fn set_detour(&self, zone: &ZoneId, node: &NodeId, address: SocketAddr) {
+    pub fn override_address(&self, zone: &ZoneId, node: &NodeId, address: SocketAddr) {
         let key = (zone.clone(), node.clone());
         self.detours.write().expect("no holder of the lock panics").insert(key, address);
     }
@@ -234,12 +234,12 @@
     }
 
     /// Has a node turn requests away and ask for no more for some whole seconds, or serve again.
-    pub fn turn_away(&self, id: &NodeId, backoff: Option<Duration>) {
+    pub fn reject_requests(&self, id: &NodeId, backoff: Option<Duration>) {
         self.with_node(id, |node| node.switch.set(backoff));
     }
 
     /// Has a node name a limit in its answers, or none.
-    pub fn name_limit(&self, id: &NodeId, limit: Option<&'static str>) {
+    pub fn set_limit(&self, id: &NodeId, limit: Option<&'static str>) {
         self.with_node(id, |node| node.switch.name_limit(limit));
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// When a node turned requests away.
-    pub fn turned_away(&self, id: &NodeId) -> Vec<Instant> {
+    pub fn rejections(&self, id: &NodeId) -> Vec<Instant> {
         self.with_node(id, |node| node.switch.turned_away()).unwrap_or_default()
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// Starts a killed node again, empty and with another start.
-    pub fn revive(&self, id: &NodeId) {
+    pub fn restart(&self, id: &NodeId) {
         let _entered = self.runtime.enter();
         let start = {
             let mut next = self.next_start.lock().expect("no holder of the lock panics");
@@ -281,7 +281,7 @@
     }
 
     /// Starts a killed node again with another start, pretending to hold what it held.
-    pub fn revive_unchanged(&self, id: &NodeId) {
+    pub fn restart_with_state(&self, id: &NodeId) {
         let start = {
             let mut next = self.next_start.lock().expect("no holder of the lock panics");
             *next += 1;
@@ -296,17 +296,17 @@
     }
 
     /// Changes what the platform's list says of a node, which need not be so.
-    pub fn list_as(&self, id: &NodeId, state: PlatformState) {
+    pub fn set_listed_state(&self, id: &NodeId, state: PlatformState) {
         self.with_node(id, |node| node.listed.state = state);
     }
 
     /// Changes the address that the platform's list gives for a node, as to a proxy.
-    pub fn list_address(&self, id: &NodeId, address: SocketAddr) {
+    pub fn set_listed_address(&self, id: &NodeId, address: SocketAddr) {
         self.with_node(id, |node| node.listed.address = address.to_string());
     }
 
     /// Nodes that hold an epoch, with it and their state.
-    pub fn held(&self) -> Vec<(NodeId, Epoch, NodeState)> {
+    pub fn node_states(&self) -> Vec<(NodeId, Epoch, NodeState)> {
         let nodes = self.nodes.read().expect("no holder of the lock panics");
         nodes
             .iter()
@@ -318,14 +318,16 @@
     }
 
     /// Orders that nodes which do not check took although a later one stood.
-    pub fn overridden(&self) -> u32 {
+    pub fn stale_orders_accepted(&self) -> u32 {
         let nodes = self.nodes.read().expect("no holder of the lock panics");
         let models = nodes.values().filter_map(|node| node.model.as_ref());
-        models.map(|model| model.state.lock().expect("no holder panics").overridden).sum()
+        models
+            .map(|model| model.state.lock().expect("no holder panics").stale_orders_accepted)
+            .sum()
     }
 
     /// Makes a node be held by another owner, as the other half of a move would.
-    pub fn seize(&self, id: &NodeId, owner: &str) {
+    pub fn set_owner(&self, id: &NodeId, owner: &str) {
         self.with_node(id, |node| {
             if let Some(model) = &node.model {
                 let mut state = model.state.lock().expect("no holder of the lock panics");
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -20,6 +20,6 @@
 pub use cluster::{CALLER_KEY, Cluster, ClusterConfig, OPERATOR_KEY};
 pub use fleet::{FleetConfig, StandinFleet};
 pub use join::join_all;
-pub use model::{ENDING_PROMPT, ModelConfig, expected_token};
+pub use model::{CRASHING_PROMPT, ModelConfig, expected_token};
 pub use proxy::{FaultMode, FaultProxy, LinkProxy};
 pub use record::{RunHistory, RunRecord};
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -31,7 +31,7 @@
 const BLOCK_BYTES: usize = 256;
 
 /// Prompt that ends each model worker that begins to run it.
-pub const ENDING_PROMPT: &str = "end the worker";
+pub const CRASHING_PROMPT: &str = "end the worker";
 
 /// Times and limits of a stand-in model worker.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     /// Age of the load figure that the node reports.
     pub report_lag: Duration,
     /// Time for which a request runs that ends its worker.
-    pub ending: Duration,
+    pub crash_delay: Duration,
 }
 
 impl Default for ModelConfig {
@@ -61,7 +61,7 @@
             batch: 32,
             cache_blocks: 512,
             report_lag: Duration::from_millis(500),
-            ending: Duration::ZERO,
+            crash_delay: Duration::ZERO,
         }
     }
 }
@@ -85,7 +85,7 @@
     weights: BTreeSet<String>,
     cache: VecDeque<u64>,
     /// Orders accepted while another owner's or a later one stood; must stay 0.
-    pub(crate) overridden: u32,
+    pub(crate) stale_orders_accepted: u32,
 }
 
 /// For how long a replica has lacked a member, none where all are up and hold its epoch.
@@ -115,7 +115,7 @@
             reported: (Instant::now(), 0),
             weights: BTreeSet::new(),
             cache: VecDeque::new(),
-            overridden: 0,
+            stale_orders_accepted: 0,
         }
     }
 
@@ -166,7 +166,7 @@
                 let refusal = OrderRefusal { epoch: state.epoch, owner };
                 return json_answer(StatusCode::CONFLICT, &refusal);
             }
-            state.overridden += 1;
+            state.stale_orders_accepted += 1;
         }
         let repeated = state.epoch == order.epoch && state.state != NodeState::Idle;
         if state.epoch != order.epoch {
@@ -224,10 +224,10 @@
         }
         let ticket = RunTicket::new(&self);
         self.note_run(&job);
-        if job.prompt.contains(ENDING_PROMPT)
+        if job.prompt.contains(CRASHING_PROMPT)
             && let Some(port) = self.port.get()
         {
-            tokio::time::sleep(self.config.ending).await;
+            tokio::time::sleep(self.config.crash_delay).await;
             port.set_power(Power::Off);
         }
         let uncached = self.compute_prefix(&job.prompt);
@@ -285,12 +285,12 @@
             let members = state.order.as_ref().map(|order| order.members.clone());
             (members.unwrap_or_default(), state.epoch, state.state == NodeState::Draining)
         };
-        self.history.note(RunRecord {
+        self.history.record(RunRecord {
             key: job.key.clone(),
             node: self.id.to_string(),
             missing_ms: (self.members)(&members, epoch)
                 .map_or(0, |missing| u64::try_from(missing.as_millis()).unwrap_or(u64::MAX)),
-            late: job.late,
+            past_deadline: job.late,
             draining,
         });
     }
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -23,17 +23,17 @@
     /// Passes everything on.
     Pass,
     /// Closes all connections and refuses new ones.
-    Cut,
+    Disconnect,
     /// Keeps connections but passes nothing on in either direction.
-    Silence,
+    Blackhole,
     /// Passes on only what the dialling side says.
-    SilenceAnswers,
+    BlackholeReplies,
     /// Holds each buffer back.
     Delay(Duration),
     /// Now and then changes a byte.
-    Damage,
+    Corrupt,
     /// Now and then repeats a buffer.
-    Repeat,
+    Duplicate,
     /// Now and then leaves the end of a buffer out.
     Truncate,
     /// Now and then puts the second half of a buffer before the first.
@@ -121,7 +121,7 @@
     loop {
         let Ok((near, source)) = listener.accept().await else { return };
         let watcher = watch(source.ip());
-        if *watcher.borrow() == FaultMode::Cut {
+        if *watcher.borrow() == FaultMode::Disconnect {
             continue;
         }
         connection += 1;
@@ -144,7 +144,7 @@
     let back = copy_harmed(far_read, near_write, watcher.clone(), true, seed ^ 0xff);
     tokio::select! {
         () = async { tokio::join!(there, back); } => {}
-        _ = watcher.wait_for(|mode| *mode == FaultMode::Cut) => {}
+        _ = watcher.wait_for(|mode| *mode == FaultMode::Disconnect) => {}
     }
 }
 
@@ -163,7 +163,7 @@
             Ok(length) => length,
         };
         let silent = |mode: &FaultMode| {
-            *mode == FaultMode::Silence || (answers && *mode == FaultMode::SilenceAnswers)
+            *mode == FaultMode::Blackhole || (answers && *mode == FaultMode::BlackholeReplies)
         };
         if watcher.wait_for(|mode| !silent(mode)).await.is_err() {
             break;
@@ -173,11 +173,11 @@
         let mut bytes = buffer[..length].to_vec();
         match mode {
             FaultMode::Delay(delay) => tokio::time::sleep(delay).await,
-            FaultMode::Damage if harm => {
+            FaultMode::Corrupt if harm => {
                 let position = rng.random_range(0..bytes.len());
                 bytes[position] ^= 1 << rng.random_range(0..8);
             }
-            FaultMode::Repeat if harm => bytes.extend_from_within(..),
+            FaultMode::Duplicate if harm => bytes.extend_from_within(..),
             FaultMode::Reorder if harm => bytes.rotate_left(length / 2),
             FaultMode::Truncate if harm => bytes.truncate(rng.random_range(0..bytes.len())),
             _ => {}
--- a/crates/testkit/src/record.rs
+++ b/crates/testkit/src/record.rs
@@ -13,7 +13,7 @@
     /// Milliseconds for which the replica had lacked a member when it began, 0 where it was whole.
     pub missing_ms: u64,
     /// Whether its deadline had passed when it began.
-    pub late: bool,
+    pub past_deadline: bool,
     /// Whether the node's replica had been told to drain when it began.
     pub draining: bool,
 }
@@ -26,7 +26,7 @@
 
 impl RunHistory {
     /// Adds an execution.
-    pub fn note(&self, record: RunRecord) {
+    pub fn record(&self, record: RunRecord) {
         self.runs.lock().expect("no holder of the lock panics").push(record);
     }
 
--- a/crates/testkit/src/service.rs
+++ b/crates/testkit/src/service.rs
@@ -41,11 +41,11 @@
             return json_answer(StatusCode::BAD_REQUEST, &json!({}));
         }
         if parts.method == Method::POST {
-            self.history.note(RunRecord {
+            self.history.record(RunRecord {
                 key: key.clone(),
                 node: self.node.clone(),
                 missing_ms: 0,
-                late: header("x-hollowbarrow-deadline-ms") == "0",
+                past_deadline: header("x-hollowbarrow-deadline-ms") == "0",
                 draining: false,
             });
         }
--- a/tests/all/backoff.rs
+++ b/tests/all/backoff.rs
@@ -39,7 +39,7 @@
     }
 
     async fn call(self, cluster: &Cluster, prompt: &str) -> CallReply {
-        let address = cluster.callers(DAEMON);
+        let address = cluster.caller_address(DAEMON);
         match self {
             Self::Plain => {
                 let call = CallerCall::new(Method::GET, "/pitches/free", CALLER_KEY);
@@ -67,7 +67,7 @@
 /// Times from a node's first refusal to later ones within the time that it asked for, those that
 /// may have been under way aside.
 fn against_backoff(cluster: &Cluster, node: &NodeId) -> Vec<Duration> {
-    let turned_away = cluster.fleet().turned_away(node);
+    let turned_away = cluster.fleet().rejections(node);
     let Some(first) = turned_away.first() else { return Vec::new() };
     let since = turned_away.iter().map(|at| at.saturating_duration_since(*first));
     since.filter(|since| *since >= UNDER_WAY && *since < ASKED).collect()
@@ -82,9 +82,9 @@
     let cluster = serving_cluster(nine_daemons(), 6).await;
     let is_near = |node: &NodeId| node.starts_with("a-");
     let near: Vec<NodeId> = kind.nodes(&cluster).into_iter().filter(is_near).collect();
-    near.iter().for_each(|node| cluster.fleet().turn_away(node, Some(ASKED)));
+    near.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(ASKED)));
     let replies = call_for(&cluster, kind, ASKED).await;
-    let asked = near.iter().filter(|node| !cluster.fleet().turned_away(node).is_empty()).count();
+    let asked = near.iter().filter(|node| !cluster.fleet().rejections(node).is_empty()).count();
     assert!(asked > 0, "none of {near:?} was asked");
     for node in &near {
         let against = against_backoff(&cluster, node);
@@ -103,9 +103,9 @@
 async fn backoff_of_all_nodes(#[case] kind: Kind) {
     let cluster = serving_cluster(nine_daemons(), 6).await;
     let nodes = kind.nodes(&cluster);
-    nodes.iter().for_each(|node| cluster.fleet().turn_away(node, Some(ASKED)));
+    nodes.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(ASKED)));
     call_for(&cluster, kind, UNDER_WAY).await;
-    let counts = || nodes.iter().map(|node| cluster.fleet().turned_away(node).len()).sum::<usize>();
+    let counts = || nodes.iter().map(|node| cluster.fleet().rejections(node).len()).sum::<usize>();
     let before = counts();
     let start = Instant::now();
     let reply = kind.call(&cluster, "when all ask for none").await;
@@ -115,7 +115,7 @@
     let pause = reply.retry_after.expect("a time to come back");
     assert!((1..=ASKED.as_secs()).contains(&pause), "{pause}");
     assert_eq!(counts(), before, "it was sent to none");
-    nodes.iter().for_each(|node| cluster.fleet().turn_away(node, None));
+    nodes.iter().for_each(|node| cluster.fleet().reject_requests(node, None));
     tokio::time::sleep(ASKED).await;
     assert_eq!(kind.call(&cluster, "afterwards").await.status, 200);
 }
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -8,7 +8,7 @@
 use crate::support::{group, nine_daemons, pause};
 
 async fn revision(cluster: &Cluster, id: &str, name: &str) -> Option<u64> {
-    let groups = cluster.read(id, "/groups").await;
+    let groups = cluster.read_operator_api(id, "/groups").await;
     let found = groups.as_array().into_iter().flatten().find(|g| g["spec"]["name"] == name);
     found.and_then(|group| group["revision"].as_u64())
 }
@@ -34,7 +34,7 @@
 async fn change_race() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let base = accepted(&cluster.change("a0", "first", &group("drafts", 0)).await);
+    let base = accepted(&cluster.submit_change("a0", "first", &group("drafts", 0)).await);
     let racers = ["a0", "b1", "c2", "b0", "c0"].map(|id| {
         let body = json!({"id": format!("race {id}"), "author": "", "base": base,
             "command": group("drafts", 0)});
@@ -42,7 +42,7 @@
     });
     let mut replies = Vec::new();
     for (id, body) in &racers {
-        replies.push(cluster.operate(id, Method::POST, "/changes", body));
+        replies.push(cluster.call_operator_api(id, Method::POST, "/changes", body));
     }
     let replies = join_all(replies).await;
     let winners = replies.iter().filter(|reply| reply.status == 200).count();
@@ -65,11 +65,12 @@
 async fn change_resent_after_leader_killed() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let first = accepted(&cluster.change("b1", "once", &group("drafts", 0)).await);
-    accepted(&cluster.change("b1", "twice", &group("drafts", 1)).await);
-    let leader = cluster.read("b1", "/status").await["leader"].as_str().map(str::to_owned);
+    let first = accepted(&cluster.submit_change("b1", "once", &group("drafts", 0)).await);
+    accepted(&cluster.submit_change("b1", "twice", &group("drafts", 1)).await);
+    let leader =
+        cluster.read_operator_api("b1", "/status").await["leader"].as_str().map(str::to_owned);
     cluster.kill(&leader.expect("there is a leader"));
-    let again = accepted(&cluster.change("b2", "once", &group("drafts", 0)).await);
+    let again = accepted(&cluster.submit_change("b2", "once", &group("drafts", 0)).await);
     assert_eq!(first, again, "the resent change was taken for a new one");
 }
 
@@ -81,7 +82,7 @@
     cluster.wait_ready().await;
     let mut last = 0;
     for number in 0..20 {
-        let reply = cluster.change("a1", &format!("c{number}"), &group("drafts", 0)).await;
+        let reply = cluster.submit_change("a1", &format!("c{number}"), &group("drafts", 0)).await;
         last = accepted(&reply);
     }
     for id in cluster.ids() {
@@ -102,19 +103,20 @@
 async fn cut_off_leader() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let first = accepted(&cluster.change("a1", "before", &group("drafts", 0)).await);
+    let first = accepted(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
     for id in cluster.ids() {
         assert!(wait_revision(&cluster, &id, "drafts", first).await);
     }
-    let leader = cluster.read("a1", "/status").await["leader"].as_str().map(str::to_owned);
+    let leader =
+        cluster.read_operator_api("a1", "/status").await["leader"].as_str().map(str::to_owned);
     let leader = leader.expect("there is a leader");
     let other = cluster.ids().into_iter().find(|id| *id != leader).expect("there are nine");
-    cluster.set_daemon_links(&leader, FaultMode::Silence);
+    cluster.set_daemon_links(&leader, FaultMode::Blackhole);
     let lost = json!({"id": "lost", "author": "", "command": group("drafts", 1)});
-    let reply = cluster.operate(&leader, Method::POST, "/changes", &lost).await;
+    let reply = cluster.call_operator_api(&leader, Method::POST, "/changes", &lost).await;
     assert_ne!(reply.status, 200, "a leader without a majority accepted a change");
-    let after = accepted(&cluster.change(&other, "after", &group("drafts", 0)).await);
-    let status = cluster.read(&leader, "/status").await;
+    let after = accepted(&cluster.submit_change(&other, "after", &group("drafts", 0)).await);
+    let status = cluster.read_operator_api(&leader, "/status").await;
     assert!(status["confirmed_ms"].as_u64() > Some(1500), "{status}");
     cluster.set_daemon_links(&leader, FaultMode::Pass);
     for id in cluster.ids() {
@@ -138,28 +140,28 @@
 async fn lost_disk() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let before = accepted(&cluster.change("a1", "before", &group("drafts", 0)).await);
+    let before = accepted(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
     cluster.kill("c0");
-    let data = cluster.data("c0").expect("c0 has a disk").to_owned();
+    let data = cluster.data_folder("c0").expect("c0 has a disk").to_owned();
     std::fs::remove_dir_all(&data).expect("the disk can be wiped");
     cluster.restart("c0");
     cluster.wait_ready().await;
     assert!(wait_revision(&cluster, "c0", "drafts", before).await, "it follows all the same");
-    let status = cluster.read("c0", "/status").await;
+    let status = cluster.read_operator_api("c0", "/status").await;
     assert!(status["fault"].as_str().is_some_and(|f| f.contains("replace this voter")), "{status}");
     let change = json!({"remove": "c0", "add": "c0"});
-    let mut replaced = cluster.operate("a1", Method::POST, "/voters", &change).await;
+    let mut replaced = cluster.call_operator_api("a1", Method::POST, "/voters", &change).await;
     for _ in 0..20 {
         if replaced.status == 200 {
             break;
         }
         pause(300).await;
-        replaced = cluster.operate("a1", Method::POST, "/voters", &change).await;
+        replaced = cluster.call_operator_api("a1", Method::POST, "/voters", &change).await;
     }
     assert_eq!(replaced.status, 200, "{}", replaced.body);
     let mut fault = json!("not read yet");
     for _ in 0..100 {
-        fault = cluster.read("c0", "/status").await["fault"].clone();
+        fault = cluster.read_operator_api("c0", "/status").await["fault"].clone();
         if fault.is_null() {
             break;
         }
@@ -167,7 +169,7 @@
     }
     assert!(fault.is_null(), "{fault}");
     cluster.kill("a0");
-    accepted(&cluster.change("b1", "after", &group("drafts", 0)).await);
+    accepted(&cluster.submit_change("b1", "after", &group("drafts", 0)).await);
 }
 
 /// A change of voters that names nobody is refused with the field that does.
@@ -176,15 +178,17 @@
 async fn change_unknown_voter() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let reply = cluster.operate("a0", Method::POST, "/voters", &json!({"remove": "nobody"})).await;
+    let reply = cluster
+        .call_operator_api("a0", Method::POST, "/voters", &json!({"remove": "nobody"}))
+        .await;
     let fault: Value = serde_json::from_str(&reply.body).unwrap_or_default();
     assert_eq!((reply.status, &fault["faults"][0]["field"]), (422, &json!("remove")), "{fault}");
 }
 
 /// Damaged, repeated and cut-short bytes between daemons do no harm.
 #[rstest]
-#[case::damage(FaultMode::Damage)]
-#[case::repeat(FaultMode::Repeat)]
+#[case::damage(FaultMode::Corrupt)]
+#[case::repeat(FaultMode::Duplicate)]
 #[case::truncate(FaultMode::Truncate)]
 #[case::reorder(FaultMode::Reorder)]
 #[tokio::test(flavor = "multi_thread")]
@@ -194,7 +198,7 @@
     cluster.set_all_links(mode);
     let mut last = 0;
     for number in 0..10 {
-        let reply = cluster.change("b2", &format!("c{number}"), &group("drafts", 0)).await;
+        let reply = cluster.submit_change("b2", &format!("c{number}"), &group("drafts", 0)).await;
         last = accepted(&reply);
     }
     cluster.set_all_links(FaultMode::Pass);
--- a/tests/all/crashing_request.rs
+++ b/tests/all/crashing_request.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use hollowbarrow_testkit::{Cluster, ENDING_PROMPT, FleetConfig, ModelConfig};
+use hollowbarrow_testkit::{CRASHING_PROMPT, Cluster, FleetConfig, ModelConfig};
 use rstest::rstest;
 
 use crate::requests::stream;
@@ -27,18 +27,18 @@
     // It comes at daemons of two zones until three nodes have ended under it.
     for id in ["a0", "b0", "a1", "b1"] {
         if ended_nodes(&cluster) < MOST_ENDED {
-            stream(cluster.callers(id), ENDING_PROMPT, 20).await;
+            stream(cluster.caller_address(id), CRASHING_PROMPT, 20).await;
         }
     }
     pause(SPREAD_MS).await;
     let ended = ended_nodes(&cluster);
     assert_eq!(ended, MOST_ENDED);
     for id in cluster.ids() {
-        let reply = stream(cluster.callers(&id), ENDING_PROMPT, 20).await;
+        let reply = stream(cluster.caller_address(&id), CRASHING_PROMPT, 20).await;
         assert_eq!((reply.status, reply.code().as_str()), (503, "ends_upstreams"), "{id}");
         assert_eq!(reply.ran(), "not_run", "{id}");
         assert_eq!(ended_nodes(&cluster), ended, "{id} sent it on");
-        let reply = stream(cluster.callers(&id), "another prompt", 20).await;
+        let reply = stream(cluster.caller_address(&id), "another prompt", 20).await;
         assert_eq!(reply.status, 200, "{id} serves others: {}", reply.body);
     }
 }
@@ -61,12 +61,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_burst_bounded_everywhere(#[case] ending: Duration, #[case] most: usize) {
     let fleet = FleetConfig::new(&zones(), 2, 4)
-        .with_unchecked(true)
-        .with_model(ModelConfig { ending, ..ModelConfig::default() });
+        .with_unfenced_nodes(true)
+        .with_model(ModelConfig { crash_delay: ending, ..ModelConfig::default() });
     let cluster = serving_cluster(nine_daemons_before(fleet), 6).await;
     let burst = || {
-        let copies = (0..COPIES)
-            .map(|copy| stream(cluster.callers(DOORS[copy % DOORS.len()]), ENDING_PROMPT, 20));
+        let copies = (0..COPIES).map(|copy| {
+            stream(cluster.caller_address(DOORS[copy % DOORS.len()]), CRASHING_PROMPT, 20)
+        });
         futures_util::future::join_all(copies)
     };
     burst().await;
@@ -76,7 +77,7 @@
     burst().await;
     assert!(ended_nodes(&cluster) <= most + 1, "{} nodes ended", ended_nodes(&cluster));
     for id in DOORS {
-        let reply = stream(cluster.callers(id), "another prompt", 20).await;
+        let reply = stream(cluster.caller_address(id), "another prompt", 20).await;
         assert_eq!(reply.status, 200, "{id} serves others: {}", reply.body);
     }
 }
--- a/tests/all/door.rs
+++ b/tests/all/door.rs
@@ -23,7 +23,7 @@
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
     for _ in 0..200 {
-        let nodes = cluster.read("a0", "/nodes").await;
+        let nodes = cluster.read_operator_api("a0", "/nodes").await;
         let seen = |node: &serde_json::Value| {
             node["observed"].as_str().is_some_and(|observed| observed.starts_with("ready"))
         };
@@ -63,7 +63,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refuse_hostile_bytes() {
     let cluster = one_daemon().await;
-    let address = cluster.callers("a0");
+    let address = cluster.caller_address("a0");
     let long = "a".repeat(70_000);
     let many: String = (0..200).map(|number| format!("x-{number}: 1\r\n")).collect();
     let big = "b".repeat(3000);
@@ -111,7 +111,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_slow_callers() {
     let cluster = one_daemon().await;
-    let address = cluster.callers("a0");
+    let address = cluster.caller_address("a0");
     let mut silent = Vec::new();
     for _ in 0..80 {
         let mut stream = TcpStream::connect(address).await.expect("the door listens");
@@ -168,7 +168,7 @@
 fn fuzz_door() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     let cluster = runtime.block_on(one_daemon());
-    let address = cluster.callers("a0");
+    let address = cluster.caller_address("a0");
     let good = |number: usize| {
         let headers =
             format!("x-request-id: case-{number}-\r\ncontent-length: 2\r\nconnection: close\r\n");
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -18,7 +18,11 @@
         pause(300).await;
         assert!(cluster.wait_serving("b1", "drafts", 3).await, "{}", cluster.log("a0"));
     }
-    assert_eq!(cluster.fleet().overridden(), 0, "a node that does not check took a stale order");
+    assert_eq!(
+        cluster.fleet().stale_orders_accepted(),
+        0,
+        "a node that does not check took a stale order"
+    );
 }
 
 /// A killed leader, authority and voter: the rest goes on, and the daemon comes back whole.
@@ -44,7 +48,7 @@
 async fn repair_cut_off_zone() {
     let cluster = serving_cluster(nine_daemons(), 3).await;
     let zone = zones().remove(2);
-    cluster.set_zone_links(&zone, FaultMode::Silence);
+    cluster.set_zone_links(&zone, FaultMode::Blackhole);
     pause(1500).await;
     let mut own = None;
     for _ in 0..100 {
@@ -70,7 +74,7 @@
     assert!(repaired, "zone c did not repair its group: {}", cluster.log("c0"));
     cluster.set_zone_links(&zone, FaultMode::Pass);
     assert!(cluster.wait_serving("a0", "drafts", 3).await);
-    assert_eq!(cluster.fleet().overridden(), 0);
+    assert_eq!(cluster.fleet().stale_orders_accepted(), 0);
 }
 
 /// A member that restarts as if nothing had happened does not slip back in.
@@ -80,12 +84,14 @@
     let cluster = serving_cluster(nine_daemons(), 1).await;
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
     let member = NodeId::from(members[1].as_str());
-    let before = cluster.read("a0", "/explain/drafts").await["replicas"][0]["epoch"].clone();
+    let before =
+        cluster.read_operator_api("a0", "/explain/drafts").await["replicas"][0]["epoch"].clone();
     cluster.fleet().kill(&member);
-    cluster.fleet().revive_unchanged(&member);
+    cluster.fleet().restart_with_state(&member);
     let mut after = before.clone();
     for _ in 0..200 {
-        let replica = cluster.read("a0", "/explain/drafts").await["replicas"][0].clone();
+        let replica =
+            cluster.read_operator_api("a0", "/explain/drafts").await["replicas"][0].clone();
         if replica["state"] == "serving" && replica["epoch"] != before {
             after = replica["epoch"].clone();
             break;
@@ -101,11 +107,11 @@
 async fn drain_leaving_node() {
     let cluster = serving_cluster(nine_daemons(), 1).await;
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
-    let address = cluster.callers("b0");
+    let address = cluster.caller_address("b0");
     let streaming =
         tokio::spawn(async move { crate::requests::stream(address, "long", 400).await });
     pause(300).await;
-    cluster.fleet().list_as(&NodeId::from(members[0].as_str()), PlatformState::Leaving);
+    cluster.fleet().set_listed_state(&NodeId::from(members[0].as_str()), PlatformState::Leaving);
     let reply = streaming.await.expect("the stream's task ends");
     let (tokens, done) = reply.tokens();
     assert!(done && tokens.len() == 400, "{} tokens came, done {done}", tokens.len());
@@ -129,14 +135,14 @@
     let cluster = hollowbarrow_testkit::Cluster::start(config);
     cluster.wait_ready().await;
     for node in cluster.fleet().model_nodes().iter().filter(|node| node.contains("-d0-")) {
-        cluster.fleet().seize(node, "other-half");
+        cluster.fleet().set_owner(node, "other-half");
     }
-    cluster.label_all().await;
-    cluster.change("a0", "put group", &crate::support::group("drafts", 6)).await;
+    cluster.label_all_nodes().await;
+    cluster.submit_change("a0", "put group", &crate::support::group("drafts", 6)).await;
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
     pause(1000).await;
-    assert_eq!(cluster.serving("a0", "drafts").await, 3, "a foreign node was taken");
-    let nodes = cluster.fleet().held();
+    assert_eq!(cluster.serving_count("a0", "drafts").await, 3, "a foreign node was taken");
+    let nodes = cluster.fleet().node_states();
     let foreign = nodes.iter().filter(|(id, ..)| id.contains("-d0-"));
     assert!(foreign.into_iter().all(|(_, epoch, _)| **epoch == 0), "a foreign node got an order");
 }
@@ -149,11 +155,11 @@
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
     for member in &members {
         let command = json!({"change_labels": {"node": member, "remove": ["given"]}});
-        cluster.change("b1", &format!("take {member}"), &command).await;
+        cluster.submit_change("b1", &format!("take {member}"), &command).await;
     }
     let mut released = false;
     for _ in 0..300 {
-        let held = cluster.fleet().held();
+        let held = cluster.fleet().node_states();
         let of = |name: &String| held.iter().find(|(id, ..)| **id == **name).map(|(.., s)| *s);
         released =
             members.iter().all(|member| of(member) == Some(hollowbarrow_schema::NodeState::Idle));
@@ -162,6 +168,6 @@
         }
         pause(50).await;
     }
-    assert!(released, "the nodes were not released: {:?}", cluster.fleet().held());
+    assert!(released, "the nodes were not released: {:?}", cluster.fleet().node_states());
     assert!(cluster.wait_serving("a0", "drafts", 1).await);
 }
--- a/tests/all/limit.rs
+++ b/tests/all/limit.rs
@@ -33,7 +33,7 @@
 }
 
 async fn call(cluster: &Cluster, kind: Kind, daemon: &str, prompt: &str) -> CallReply {
-    let address = cluster.callers(daemon);
+    let address = cluster.caller_address(daemon);
     match kind {
         Kind::Plain => {
             let call = CallerCall::new(Method::GET, "/pitches/free", CALLER_KEY);
@@ -85,7 +85,7 @@
         Kind::Plain => cluster.fleet().service_nodes(),
         Kind::Model => cluster.fleet().model_nodes(),
     };
-    nodes.iter().for_each(|node| cluster.fleet().name_limit(node, Some(LIMIT)));
+    nodes.iter().for_each(|node| cluster.fleet().set_limit(node, Some(LIMIT)));
     let start = Instant::now();
     let served = call_for(&cluster, kind, LOAD_TIME).await;
     assert!(served > 0, "nothing is served");
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -29,7 +29,7 @@
     let messages = json!([{"role": "user", "content": prompt}]).to_string();
     let (tokens, done) = reply.tokens();
     let expected: Vec<String> = (0..count).map(|n| expected_token(&messages, n)).collect();
-    done && reply.whole && tokens == expected
+    done && reply.complete && tokens == expected
 }
 
 async fn hold(address: SocketAddr, key: &str) -> CallReply {
@@ -46,7 +46,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_400_at_once() {
     let cluster = serving_cluster(nine_daemons(), 6).await;
-    let address = cluster.callers("a1");
+    let address = cluster.caller_address("a1");
     let streams: Vec<_> = (0..400)
         .map(|number| {
             tokio::spawn(async move {
@@ -59,7 +59,7 @@
     for task in streams {
         let (own, reply) = task.await.expect("the stream's task ends");
         assert!(own, "status {} {:?}", reply.status, &reply.body[..reply.body.len().min(300)]);
-        assert!(reply.pieces.len() > 50, "tokens came in {} pieces", reply.pieces.len());
+        assert!(reply.chunk_times.len() > 50, "tokens came in {} pieces", reply.chunk_times.len());
     }
 }
 
@@ -71,7 +71,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_member_killed(#[case] count: u32) {
     let cluster = serving_cluster(nine_daemons(), 3).await;
-    let address = cluster.callers("a1");
+    let address = cluster.caller_address("a1");
     let streams: Vec<_> = (0..count)
         .map(|number| {
             tokio::spawn(async move {
@@ -108,14 +108,14 @@
     let ids: Vec<String> = cluster.ids().into_iter().filter(|id| cluster.is_running(id)).collect();
     (from..from + count)
         .map(|number| {
-            let doors: Vec<SocketAddr> = ids.iter().map(|id| cluster.callers(id)).collect();
+            let doors: Vec<SocketAddr> = ids.iter().map(|id| cluster.caller_address(id)).collect();
             tokio::spawn(async move {
                 let key = format!("hold-{number}");
                 let mut replies = Vec::new();
                 for attempt in 0..6 {
                     let door = doors[(number as usize * 7 + attempt * 4) % doors.len()];
                     let reply = hold(door, &key).await;
-                    let done = reply.status == 200 && reply.whole;
+                    let done = reply.status == 200 && reply.complete;
                     replies.push(reply);
                     if done {
                         break;
@@ -173,7 +173,7 @@
     send_holds(&cluster, 200, 20, &mut told).await;
     cluster.resume("a2");
     let zone = zones().remove(2);
-    cluster.set_zone_links(&zone, FaultMode::Silence);
+    cluster.set_zone_links(&zone, FaultMode::Blackhole);
     send_holds(&cluster, 300, 40, &mut told).await;
     cluster.set_zone_links(&zone, FaultMode::Pass);
     cluster.restart("b1");
@@ -222,7 +222,9 @@
     pause(2000).await;
     let mut told = Told::new();
     send_holds(&cluster, 0, 10, &mut told).await;
-    let leader = cluster.read("a0", "/status").await["claims_leader"].as_str().map(str::to_owned);
+    let leader = cluster.read_operator_api("a0", "/status").await["claims_leader"]
+        .as_str()
+        .map(str::to_owned);
     let leader = leader.expect("the claims have a leader");
     cluster.kill(&leader);
     send_holds(&cluster, 100, 40, &mut told).await;
@@ -240,15 +242,15 @@
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     pause(2000).await;
-    let first = hold(cluster.callers("a0"), "family").await;
+    let first = hold(cluster.caller_address("a0"), "family").await;
     assert_eq!(first.status, 200, "{}", first.body);
     for id in cluster.ids() {
-        let again = hold(cluster.callers(&id), "family").await;
+        let again = hold(cluster.caller_address(&id), "family").await;
         assert_eq!((again.status, &again.body), (200, &first.body), "through {id}");
     }
     let other = CallerCall::new(Method::POST, "/holds/8", CALLER_KEY)
         .with_header("idempotency-key", "family")
-        .send(cluster.callers("b0"))
+        .send(cluster.caller_address("b0"))
         .await;
     assert_eq!((other.status, other.code().as_str()), (422, "key_reused"));
     assert_eq!(cluster.fleet().history().counts().get("family"), Some(&1));
@@ -259,14 +261,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_planned() {
     let mut cluster = serving_cluster(nine_daemons(), 3).await;
-    let address = cluster.callers("a0");
+    let address = cluster.caller_address("a0");
     let streaming = tokio::spawn(async move { stream(address, "long", 400).await });
     pause(300).await;
     let code = cluster.stop("a0").await;
     let reply = streaming.await.expect("the stream's task ends");
     assert!(is_own_whole_answer(&reply, "long", 400), "{}", reply.body.len());
     assert_eq!(code, Some(0));
-    let again = cluster.change("b0", "after", &crate::support::group("drafts", 3)).await;
+    let again = cluster.submit_change("b0", "after", &crate::support::group("drafts", 3)).await;
     assert_eq!(again.status, 200, "{}", again.body);
 }
 
@@ -276,7 +278,7 @@
 async fn refuse_bad_requests() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let address = cluster.callers("a0");
+    let address = cluster.caller_address("a0");
     // Until it has heard a leader, it cannot know that a model does not exist.
     assert_eq!(ask_until(address, 404).await, 404, "{}", cluster.log("a0"));
     let post = |path: &str, key: &str| CallerCall::new(Method::POST, path, key);
@@ -332,10 +334,10 @@
 async fn unknown_model_at_cut_daemon() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let address = cluster.callers("a2");
+    let address = cluster.caller_address("a2");
     assert_eq!(ask_until(address, 404).await, 404, "no group is for the model");
-    cluster.set_daemon_links("a2", FaultMode::Silence);
-    let reply = cluster.change("b0", "put group", &crate::support::group("drafts", 1)).await;
+    cluster.set_daemon_links("a2", FaultMode::Blackhole);
+    let reply = cluster.submit_change("b0", "put group", &crate::support::group("drafts", 1)).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
     assert_eq!(ask_until(address, 503).await, 503, "the daemon cannot know: {}", cluster.log("a2"));
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -20,7 +20,7 @@
 
 /// Nine daemons in three zones before two fabric domains of four nodes in each.
 pub fn nine_daemons() -> ClusterConfig {
-    nine_daemons_before(FleetConfig::new(&zones(), 2, 4).with_unchecked(true))
+    nine_daemons_before(FleetConfig::new(&zones(), 2, 4).with_unfenced_nodes(true))
 }
 
 /// Nine daemons in three zones before given stand-ins.
@@ -35,14 +35,14 @@
 pub async fn serving_cluster(config: ClusterConfig, count: u32) -> Cluster {
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
-    cluster.label_all().await;
-    let reply = cluster.change("a0", "put group", &group("drafts", count)).await;
+    cluster.label_all_nodes().await;
+    let reply = cluster.submit_change("a0", "put group", &group("drafts", count)).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
     for id in cluster.ids() {
         assert!(
             cluster.wait_serving(&id, "drafts", u64::from(count)).await,
             "{id} does not see the group serve: {}",
-            cluster.read(&id, "/explain/drafts").await
+            cluster.read_operator_api(&id, "/explain/drafts").await
         );
     }
     cluster
--- a/tests/platform/changes.rs
+++ b/tests/platform/changes.rs
@@ -103,8 +103,8 @@
     match absence {
         Absence::CutOff => {
             for other in (0..CONTROLLERS).filter(|other| *other != controller) {
-                system.set_link(controller, other, FaultMode::Silence);
-                system.set_link(other, controller, FaultMode::Silence);
+                system.set_link(controller, other, FaultMode::Blackhole);
+                system.set_link(other, controller, FaultMode::Blackhole);
             }
         }
         Absence::Killed => system.kill_controller(controller),
