--- a/crates/measure/src/sampler.rs
+++ b/crates/measure/src/sampler.rs
@@ -85,7 +85,7 @@
         }
         let stranded: u32 = cluster
             .fleet()
-            .live_models()
+            .running_models()
             .iter()
             .filter(|(id, ..)| !members.contains(id.as_str()))
             .map(|(_, _, accelerators)| accelerators)
--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that notes exactly what it was told.
+//! An HTTP caller that records the reply to each call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What a caller was told.
+/// Reply to a call, as far as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct CallReply {
-    /// Status, 0 where no answer came.
+    /// HTTP status, 0 if no response was received.
     pub status: u16,
-    /// Whole seconds after which the caller is told to come back, if it is.
+    /// Value of `Retry-After` in seconds, if the response has one.
     pub retry_after: Option<u64>,
-    /// Body, as far as it came.
+    /// Body, as far as it was received.
     pub body: String,
-    /// Whether the answer's framing says that it is whole.
+    /// Whether the body was received up to the end that its framing marks.
     pub complete: bool,
-    /// Whether the request's connection was made at all.
+    /// Whether the connection was established.
     pub connected: bool,
-    /// Time until the first byte of the body.
+    /// Time from the start of the call to the first chunk of the body.
     pub first_byte: Option<Duration>,
-    /// Arrival of each piece of the body.
+    /// Arrival time of each chunk of the body.
     pub chunk_times: Vec<Instant>,
-    /// Time until the end.
+    /// Time from the start of the call to its end.
     pub total: Duration,
 }
 
 impl CallReply {
-    /// `not_run`, `ran` or `unknown` of an error; empty for others.
+    /// Returns `not_run`, `ran` or `unknown` for an error, an empty text for other replies.
     pub fn ran(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["error"]["ran"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Stable code of an error; empty for others.
+    /// Returns the stable code of an error, an empty text for other replies.
     pub fn code(&self) -> String {
         let value: Value = serde_json::from_str(&self.body).unwrap_or_default();
         value["error"]["code"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Texts of the tokens of a streamed answer, and whether its end mark came.
+    /// Returns the token texts of a streamed response, and whether `[DONE]` was received.
     pub fn tokens(&self) -> (Vec<String>, bool) {
         let mut tokens = Vec::new();
         let mut done = false;
@@ -66,7 +66,7 @@
     }
 }
 
-/// One call to make.
+/// An HTTP call that can be sent to a daemon.
 #[derive(Clone, Debug)]
 pub struct CallerCall {
     method: Method,
@@ -77,7 +77,7 @@
 }
 
 impl CallerCall {
-    /// Creates a call with a caller's key.
+    /// Creates a call that is authenticated by a caller's key.
     pub fn new(method: Method, path: &str, key: &str) -> Self {
         Self {
             method,
@@ -100,25 +100,26 @@
         self
     }
 
-    /// Sets how long the caller waits.
+    /// Sets the time after which the caller gives up.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Makes the call on a connection of its own.
+    /// Sends the call on a new connection.
     pub async fn send(&self, address: SocketAddr) -> CallReply {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut reply = CallReply::default();
-        let _ = tokio::time::timeout(self.timeout, self.exchange(address, begun, &mut reply)).await;
-        reply.total = begun.elapsed();
+        let _ =
+            tokio::time::timeout(self.timeout, self.exchange(address, started, &mut reply)).await;
+        reply.total = started.elapsed();
         reply
     }
 
     async fn exchange(
         &self,
         address: SocketAddr,
-        begun: Instant,
+        started: Instant,
         reply: &mut CallReply,
     ) -> Option<()> {
         let stream = TcpStream::connect(address).await.ok()?;
@@ -138,8 +139,8 @@
         let request = request.body(Full::new(Bytes::from(self.body.clone()))).ok()?;
         let answer = sender.send_request(request).await.ok()?;
         reply.status = answer.status().as_u16();
-        let pause = answer.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
-        reply.retry_after = pause.and_then(|seconds| seconds.parse().ok());
+        let retry_after = answer.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+        reply.retry_after = retry_after.and_then(|seconds| seconds.parse().ok());
         let mut body = answer.into_body();
         let mut bytes = Vec::new();
         loop {
@@ -151,10 +152,10 @@
                 Some(Err(_)) => break,
                 Some(Ok(frame)) => {
                     let now = Instant::now();
-                    reply.first_byte.get_or_insert(now - begun);
+                    reply.first_byte.get_or_insert(now - started);
                     reply.chunk_times.push(now);
                     bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
-                    // Kept up to date, so that a caller that gives up knows what it had.
+                    // Updated for each chunk, so that the reply of a call that times out has the body so far.
                     reply.body = String::from_utf8_lossy(&bytes).into_owned();
                 }
             }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Real daemons as processes, with a fault-injecting proxy on each link between them.
+//! Clusters of daemon processes, with a fault-injecting proxy on each link.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -18,20 +18,20 @@
 use crate::fleet::{FleetConfig, StandinFleet};
 use crate::proxy::{FaultMode, FaultProxy};
 
-/// Key of callers of a test cluster.
+/// API key of the callers of a test cluster.
 pub const CALLER_KEY: &str = "test-caller-key";
-/// Key of operators of a test cluster.
+/// API key of the operators of a test cluster.
 pub const OPERATOR_KEY: &str = "test-operator-key";
-/// Longest wait for a cluster to come to a state.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Most daemons of a cluster that vote on its logs.
+/// Time within which a cluster must reach an expected state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum number of voters of a cluster.
 const MAX_VOTERS: u32 = 5;
-/// Most clusters of one process at once.
+/// Maximum number of clusters that run concurrently in one process.
 const MAX_CLUSTERS: u32 = 3;
-/// Pause between two looks at a cluster.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval between two reads of a cluster's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Which daemons a cluster has and how they are started.
+/// Daemons of a cluster, their settings and how they are started.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
     program: PathBuf,
@@ -46,9 +46,10 @@
 }
 
 impl ClusterConfig {
-    /// Creates a cluster of zones with some daemons each, the first of each with a disk.
+    /// Creates a cluster with a number of daemons in each zone. The first daemon of each zone is a
+    /// voter with a data folder, up to five in all.
     ///
-    /// The program is started with the arguments and the path of a settings file.
+    /// The program is started with the arguments, followed by the path of a settings file.
     pub fn new(
         program: &Path,
         arguments: &[&str],
@@ -69,66 +70,68 @@
         }
     }
 
-    /// Sets the daemons' times.
+    /// Sets the timing settings of the daemons.
     pub fn with_timing(mut self, timing: Value) -> Self {
         self.timing = timing;
         self
     }
 
-    /// Sets the daemons' limits.
+    /// Sets the limit settings of the daemons.
     pub fn with_limits(mut self, limits: Value) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Bounds the files that a daemon may write, in blocks of 512 bytes, as a full disk would.
+    /// Limits the size of files that a daemon can write, in blocks of 512 bytes, to simulate a full
+    /// disk.
     pub fn with_file_blocks(mut self, id: &str, blocks: u32) -> Self {
         self.file_blocks.insert(id.to_owned(), blocks);
         self
     }
 
-    /// Sets whether links go through proxies; without them many daemons fit on a machine.
+    /// Sets whether links go through proxies; without them, a machine can run more daemons.
     pub fn with_proxies(mut self, proxies: bool) -> Self {
         self.proxies = proxies;
         self
     }
 
-    /// Sets the seed of the proxies' faults.
+    /// Sets the seed of the faults that the proxies inject.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 }
 
-/// Variable that names a folder to which daemons' logs are copied at the end.
+/// Environment variable with a folder to which the daemons' logs are copied when a cluster is
+/// dropped.
 const KEEP_LOGS: &str = "HOLLOWBARROW_KEEP_LOGS";
-/// Starts a program that may not write files beyond a number of blocks, as on a full disk.
+/// Shell script that runs a program with a limit on the size of files that it can write.
 const FULL_DISK_SCRIPT: &str = "trap '' XFSZ; ulimit -f \"$1\"; shift; exec \"$@\"";
 
-/// Clusters of this process that run now.
+/// Number of running clusters of this process, and a signal that one was dropped.
 static RUNNING: (Mutex<u32>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// One of the places for clusters; more at once would starve each other of processor time, and
-/// leases would run out for no fault of the product.
-struct ClusterPlace;
+/// Permit to run a cluster. More clusters at once would starve each other of processor time, so that
+/// leases would expire without a fault in the daemons.
+struct ClusterSlot;
 
-impl ClusterPlace {
-    fn take() -> Self {
-        let (running, freed) = &RUNNING;
-        let mut count = running.lock().expect("no holder of the lock panics");
+impl ClusterSlot {
+    fn acquire() -> Self {
+        let (running, released) = &RUNNING;
+        let mut count = running.lock().expect("the mutex is not poisoned");
         while *count >= MAX_CLUSTERS {
-            count = freed.wait(count).expect("no holder of the lock panics");
+            count = released.wait(count).expect("the mutex is not poisoned");
         }
         *count += 1;
         Self
     }
 }
 
-impl Drop for ClusterPlace {
+impl Drop for ClusterSlot {
     fn drop(&mut self) {
-        let (running, freed) = &RUNNING;
-        *running.lock().expect("no holder of the lock panics") -= 1;
-        freed.notify_one();
+        let (running, released) = &RUNNING;
+        *running.lock().expect("the mutex is not poisoned") -= 1;
+        released.notify_one();
     }
 }
 
@@ -143,22 +146,23 @@
     child: Option<Child>,
 }
 
-/// A running cluster.
+/// A running cluster of daemons with its stand-in upstreams and proxies.
 pub struct Cluster {
     config: ClusterConfig,
     folder: TempDir,
     daemons: Vec<DaemonProcess>,
     links: BTreeMap<(String, String), FaultProxy>,
-    detours: BTreeMap<(ZoneId, NodeId), FaultProxy>,
+    node_proxies: BTreeMap<(ZoneId, NodeId), FaultProxy>,
     fleet: StandinFleet,
-    _place: ClusterPlace,
+    _slot: ClusterSlot,
 }
 
-/// An address that no other test process and no other daemon of this one uses.
+/// Returns a loopback address that no other listener of this process uses. Processes get different
+/// addresses unless their IDs are equal modulo 200.
 ///
-/// Outgoing connections come from 127.0.0.1, so none of them can take a port of
-/// such an address while its daemon is not yet up, or down.
-fn fresh_address() -> Ipv4Addr {
+/// Outgoing connections use 127.0.0.1 as their source, so that none of them can occupy a port of
+/// this address while its daemon is not running.
+fn unused_address() -> Ipv4Addr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = 1 + std::process::id() % 200;
@@ -166,26 +170,26 @@
     Ipv4Addr::new(127, u8::try_from(process).unwrap_or(1), high, low)
 }
 
-/// A port that the kernel gives on an address.
+/// Returns an address with a port that is free at the time of the call.
 fn free_port(address: Ipv4Addr) -> SocketAddr {
-    let listener = TcpListener::bind((address, 0)).expect("the kernel gives a free port");
+    let listener = TcpListener::bind((address, 0)).expect("a free local port can be bound");
     listener.local_addr().expect("a bound socket has an address")
 }
 
 impl Cluster {
-    /// Starts stand-ins, proxies and daemons on the current runtime.
+    /// Starts the stand-ins and proxies on the current runtime, and the daemons as processes.
     pub fn start(config: ClusterConfig) -> Self {
-        let place = ClusterPlace::take();
-        let folder = tempfile::tempdir().expect("a folder can be made");
+        let slot = ClusterSlot::acquire();
+        let folder = tempfile::tempdir().expect("a temporary folder can be created");
         let fleet = StandinFleet::start(&config.fleet);
         let mut cluster = Self {
             config,
             folder,
             daemons: Vec::new(),
             links: BTreeMap::new(),
-            detours: BTreeMap::new(),
+            node_proxies: BTreeMap::new(),
             fleet,
-            _place: place,
+            _slot: slot,
         };
         cluster.build();
         for position in 0..cluster.daemons.len() {
@@ -200,10 +204,10 @@
         let mut voters = 0;
         for (zone, count) in &self.config.zones {
             for number in 0..*count {
-                let own = free_port(fresh_address());
+                let listen = free_port(unused_address());
                 let voter = number == 0 && voters < MAX_VOTERS;
                 voters += u32::from(voter);
-                peers.push((format!("{}{number}", **zone), zone.clone(), own, voter));
+                peers.push((format!("{}{number}", **zone), zone.clone(), listen, voter));
             }
         }
         for (zone, _) in &self.config.zones {
@@ -212,21 +216,21 @@
                 if self.config.proxies && self.fleet.zone(&node).as_ref() != Some(zone) {
                     let proxy = FaultProxy::start(address, seed);
                     self.fleet.override_address(zone, &node, proxy.address());
-                    self.detours.insert((zone.clone(), node), proxy);
+                    self.node_proxies.insert((zone.clone(), node), proxy);
                 }
             }
         }
-        for (id, zone, own, voter) in &peers {
-            let mut listed = Vec::new();
+        for (id, zone, listen, voter) in &peers {
+            let mut peer_settings = Vec::new();
             for (other, other_zone, address, other_voter) in &peers {
                 let reached = if other == id || !self.config.proxies {
                     *address
                 } else {
-                    let proxy = FaultProxy::start(*address, seed ^ listed.len() as u64);
+                    let proxy = FaultProxy::start(*address, seed ^ peer_settings.len() as u64);
                     self.links.insert((id.clone(), other.clone()), proxy.clone());
                     proxy.address()
                 };
-                listed.push(json!({"id": other, "zone": **other_zone,
+                peer_settings.push(json!({"id": other, "zone": **other_zone,
                     "address": reached.to_string(), "voter": other_voter}));
             }
             let data = voter.then(|| self.folder.path().join(id));
@@ -236,15 +240,15 @@
                 settings: self.folder.path().join(format!("{id}.jsonc")),
                 data: data.clone(),
                 log: self.folder.path().join(format!("{id}.log")),
-                callers: free_port(fresh_address()),
-                operators: free_port(fresh_address()),
+                callers: free_port(unused_address()),
+                operators: free_port(unused_address()),
                 child: None,
             };
             let settings = json!({
                 "id": id, "zone": **zone, "listen": daemon.callers.to_string(),
-                "operator_listen": daemon.operators.to_string(), "peer_listen": own.to_string(),
+                "operator_listen": daemon.operators.to_string(), "peer_listen": listen.to_string(),
                 "data": data.map(|data| data.to_string_lossy().into_owned()),
-                "peers": listed,
+                "peers": peer_settings,
                 "cluster_keys": ["test-cluster-key-1"],
                 "platform": self.fleet.platform_url_for(zone),
                 "organisations": [{"id": "campers", "keys": [{"sha256": keys::hash_key(CALLER_KEY)}],
@@ -256,7 +260,8 @@
                         "not_repeatable": true, "timeout_ms": 8000}],
                 "timing": self.config.timing, "limits": self.config.limits,
             });
-            std::fs::write(&daemon.settings, settings.to_string()).expect("the folder is writable");
+            std::fs::write(&daemon.settings, settings.to_string())
+                .expect("the temporary folder is writable");
             self.daemons.push(daemon);
         }
     }
@@ -267,7 +272,7 @@
             .create(true)
             .append(true)
             .open(&daemon.log)
-            .expect("the folder is writable");
+            .expect("the temporary folder is writable");
         let mut command = match self.config.file_blocks.get(&daemon.id) {
             Some(blocks) => {
                 let mut shell = Command::new("sh");
@@ -284,55 +289,58 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()
-            .expect("the daemon's program starts");
+            .expect("the daemon's program can be started");
         daemon.child = Some(child);
     }
 
-    /// The stand-ins.
+    /// Returns the stand-in upstreams.
     pub fn fleet(&self) -> &StandinFleet {
         &self.fleet
     }
 
-    /// Names of all daemons.
+    /// Returns the IDs of all daemons.
     pub fn ids(&self) -> Vec<String> {
         self.daemons.iter().map(|daemon| daemon.id.clone()).collect()
     }
 
-    /// Names of the daemons of a zone.
+    /// Returns the IDs of the daemons of a zone.
     pub fn ids_in(&self, zone: &ZoneId) -> Vec<String> {
         self.daemons.iter().filter(|d| d.zone == *zone).map(|d| d.id.clone()).collect()
     }
 
     fn position(&self, id: &str) -> usize {
-        self.daemons.iter().position(|daemon| daemon.id == id).expect("the daemon is known")
+        self.daemons
+            .iter()
+            .position(|daemon| daemon.id == id)
+            .expect("the cluster has a daemon with this ID")
     }
 
-    /// Where a daemon takes callers.
+    /// Returns the address on which a daemon accepts callers.
     pub fn caller_address(&self, id: &str) -> SocketAddr {
         self.daemons[self.position(id)].callers
     }
 
-    /// Whether a daemon's process runs and is not stopped in place.
+    /// Returns whether a daemon has a process, running or paused.
     pub fn is_running(&self, id: &str) -> bool {
         self.daemons[self.position(id)].child.is_some()
     }
 
-    /// Process of a daemon.
+    /// Returns the process ID of a daemon.
     pub fn pid(&self, id: &str) -> Option<u32> {
         self.daemons[self.position(id)].child.as_ref().map(Child::id)
     }
 
-    /// What a daemon has logged.
+    /// Returns the log of a daemon.
     pub fn log(&self, id: &str) -> String {
         std::fs::read_to_string(&self.daemons[self.position(id)].log).unwrap_or_default()
     }
 
-    /// Folder of a daemon's state, if it has a disk.
+    /// Returns the data folder of a daemon, if it has one.
     pub fn data_folder(&self, id: &str) -> Option<&Path> {
         self.daemons[self.position(id)].data.as_deref()
     }
 
-    /// Ends a daemon at once.
+    /// Kills a daemon.
     pub fn kill(&mut self, id: &str) {
         let position = self.position(id);
         if let Some(mut child) = self.daemons[position].child.take() {
@@ -341,7 +349,7 @@
         }
     }
 
-    /// Starts a daemon that was ended.
+    /// Starts a daemon that was killed or stopped.
     pub fn restart(&mut self, id: &str) {
         let position = self.position(id);
         if self.daemons[position].child.is_none() {
@@ -355,17 +363,17 @@
         }
     }
 
-    /// Stops a daemon in place.
+    /// Suspends a daemon's process.
     pub fn pause(&self, id: &str) {
         self.signal(id, "-STOP");
     }
 
-    /// Lets a daemon that was stopped in place go on.
+    /// Resumes a paused daemon.
     pub fn resume(&self, id: &str) {
         self.signal(id, "-CONT");
     }
 
-    /// Asks a daemon to stop as planned and waits for it; returns its exit code.
+    /// Sends a daemon `SIGTERM`, waits until it exits and returns its exit code.
     pub async fn stop(&mut self, id: &str) -> Option<i32> {
         self.signal(id, "-TERM");
         let position = self.position(id);
@@ -374,14 +382,14 @@
         exited.code()
     }
 
-    /// Changes what happens on the way from one daemon to another.
+    /// Changes the fault mode of the link from one daemon to another.
     pub fn set_link(&self, from: &str, to: &str, mode: FaultMode) {
         if let Some(proxy) = self.links.get(&(from.to_owned(), to.to_owned())) {
             proxy.set_mode(mode);
         }
     }
 
-    /// Changes what happens on all ways to and from a daemon.
+    /// Changes the fault mode of all links from and to a daemon.
     pub fn set_daemon_links(&self, id: &str, mode: FaultMode) {
         for other in self.ids() {
             self.set_link(id, &other, mode);
@@ -389,12 +397,12 @@
         }
     }
 
-    /// Changes what happens on all links between daemons.
+    /// Changes the fault mode of all links between daemons.
     pub fn set_all_links(&self, mode: FaultMode) {
         self.links.values().for_each(|proxy| proxy.set_mode(mode));
     }
 
-    /// Changes what happens on all ways into and out of a zone, to nodes too.
+    /// Changes the fault mode of all links between a zone and other zones, links to nodes included.
     pub fn set_zone_links(&self, zone: &ZoneId, mode: FaultMode) {
         let inside = self.ids_in(zone);
         for ((from, to), proxy) in &self.links {
@@ -402,14 +410,14 @@
                 proxy.set_mode(mode);
             }
         }
-        for ((from, node), proxy) in &self.detours {
+        for ((from, node), proxy) in &self.node_proxies {
             if from == zone || self.fleet.zone(node).as_ref() == Some(zone) {
                 proxy.set_mode(mode);
             }
         }
     }
 
-    /// Asks a daemon's operators' interface.
+    /// Sends a request to a daemon's operator API.
     pub async fn call_operator_api(
         &self,
         id: &str,
@@ -426,7 +434,7 @@
             .await
     }
 
-    /// Reads a page of a daemon's operators' interface, null where it does not answer in time.
+    /// Reads a path of a daemon's operator API; returns null if it does not respond within 500 ms.
     pub async fn read_operator_api(&self, id: &str, path: &str) -> Value {
         let address = self.daemons[self.position(id)].operators;
         let call = CallerCall::new(Method::GET, path, OPERATOR_KEY)
@@ -435,54 +443,55 @@
         serde_json::from_str(&reply.body).unwrap_or_default()
     }
 
-    /// Submits a change through a daemon until it is accepted.
+    /// Submits a change through a daemon and retries while the daemon cannot be reached or answers 503
+    /// or 504.
     pub async fn submit_change(&self, id: &str, change_id: &str, command: &Value) -> CallReply {
         let body = json!({"id": change_id, "author": "tests", "command": command});
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let reply = self.call_operator_api(id, Method::POST, "/changes", &body).await;
-            let again = matches!(reply.status, 0 | 503 | 504);
-            if !again || begun.elapsed() > PATIENCE {
+            let retry = matches!(reply.status, 0 | 503 | 504);
+            if !retry || started.elapsed() > STATE_TIMEOUT {
                 return reply;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Gives all nodes to hollowbarrow.
+    /// Labels all model nodes as given to hollowbarrow.
     pub async fn label_all_nodes(&self) {
         let first = self.ids()[0].clone();
         for node in self.fleet.model_nodes() {
             let command =
                 json!({"change_labels": {"node": *node, "set": {"given": "hollowbarrow"}}});
             let reply = self.submit_change(&first, &format!("label {}", *node), &command).await;
-            assert_eq!(reply.status, 200, "a label was refused: {}", reply.body);
+            assert_eq!(reply.status, 200, "the label change was refused: {}", reply.body);
         }
     }
 
-    /// Number of a group's replicas that serve, as a daemon sees it.
+    /// Returns the number of a group's serving replicas that a daemon reports.
     pub async fn serving_count(&self, id: &str, group: &str) -> u64 {
         let groups = self.read_operator_api(id, "/groups").await;
         let found = groups.as_array().into_iter().flatten().find(|g| g["spec"]["name"] == group);
         found.and_then(|group| group["serving"].as_u64()).unwrap_or(0)
     }
 
-    /// Waits until a daemon sees a number of a group's replicas serve; false when it gives up.
-    pub async fn wait_serving(&self, id: &str, group: &str, wanted: u64) -> bool {
-        let begun = Instant::now();
-        while self.serving_count(id, group).await != wanted {
-            if begun.elapsed() > PATIENCE {
+    /// Waits until a daemon reports a number of serving replicas of a group; returns false on timeout.
+    pub async fn wait_serving(&self, id: &str, group: &str, expected: u64) -> bool {
+        let started = Instant::now();
+        while self.serving_count(id, group).await != expected {
+            if started.elapsed() > STATE_TIMEOUT {
                 return false;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         true
     }
 
-    /// Waits until a daemon answers that it is ready.
+    /// Waits until all daemons answer that they are ready.
     pub async fn wait_ready(&self) {
         for id in self.ids() {
-            let begun = Instant::now();
+            let started = Instant::now();
             loop {
                 let call = CallerCall::new(Method::GET, "/ready", CALLER_KEY)
                     .with_timeout(Duration::from_secs(1));
@@ -490,16 +499,16 @@
                     break;
                 }
                 assert!(
-                    begun.elapsed() < PATIENCE,
-                    "{id} does not become ready: {}",
+                    started.elapsed() < STATE_TIMEOUT,
+                    "{id} did not become ready: {}",
                     self.log(&id)
                 );
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Serving replicas that a daemon knows of: group, zone and members.
+    /// Returns the zone and the members of a group's serving replicas that a daemon reports.
     pub async fn serving_replicas(&self, id: &str, group: &str) -> Vec<(String, Vec<String>)> {
         let explained = self.read_operator_api(id, &format!("/explain/{group}")).await;
         let replicas = explained["replicas"].as_array().cloned().unwrap_or_default();
@@ -523,12 +532,12 @@
                 let _ = child.wait();
             }
         }
-        // For looking into a failure: HOLLOWBARROW_KEEP_LOGS names a folder.
-        if let Some(kept) = std::env::var_os(KEEP_LOGS) {
-            let kept = Path::new(&kept);
-            let _ = std::fs::create_dir_all(kept);
+        // Keeps the logs for the analysis of failed tests.
+        if let Some(log_folder) = std::env::var_os(KEEP_LOGS) {
+            let log_folder = Path::new(&log_folder);
+            let _ = std::fs::create_dir_all(log_folder);
             for daemon in &self.daemons {
-                let _ = std::fs::copy(&daemon.log, kept.join(format!("{}.log", daemon.id)));
+                let _ = std::fs::copy(&daemon.log, log_folder.join(format!("{}.log", daemon.id)));
             }
         }
     }
--- a/crates/testkit/src/join.rs
+++ b/crates/testkit/src/join.rs
@@ -1,8 +1,8 @@
-//! Waits for several calls at once.
+//! Joins a number of futures.
 
 use std::task::Poll;
 
-/// Waits for all futures at once and returns their results in order.
+/// Polls all futures concurrently and returns their results in the order of the futures.
 pub async fn join_all<F: Future>(futures: Vec<F>) -> Vec<F::Output> {
     let mut pinned: Vec<_> = futures.into_iter().map(Box::pin).collect();
     let mut results: Vec<Option<F::Output>> = pinned.iter().map(|_| None).collect();
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for what hollowbarrow meets, for tests, measurements and the demo.
+//! Simulated upstreams, clusters of daemons and fault injection for tests, measurements and the demo.
 //!
-//! [`StandinFleet`] runs model workers, plain services and the platform's list
-//! on local ports; [`FaultProxy`] stands between two processes and cuts,
-//! delays, repeats or damages what passes. Stand-ins record what they ran, so
-//! that a checker can hold it against what callers were told.
+//! [`StandinFleet`] runs stand-in model workers, plain services and the platform's node list
+//! on local ports. [`FaultProxy`] forwards connections between two processes and disconnects,
+//! delays, duplicates or corrupts their traffic. Stand-ins record each execution, so that a
+//! test can compare the executions with the replies that callers received.
 
 mod caller;
 mod cluster;
@@ -12,9 +12,9 @@
 mod model;
 mod proxy;
 mod record;
+mod rejection;
 mod serve;
 mod service;
-mod turn_away;
 
 pub use caller::{CallReply, CallerCall};
 pub use cluster::{CALLER_KEY, Cluster, ClusterConfig, OPERATOR_KEY};
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -1,9 +1,8 @@
-//! A stand-in model worker: orders, health, batching, a prefix cache and streams.
+//! A stand-in model worker with orders, reports, batching, a prefix cache and streaming.
 //!
-//! Tokens follow from the prompt alone, so that a reader can tell whose answer
-//! it got and whether it is whole, and a stream can be resumed on another
-//! replica. Time per token grows with the batch, and time to the first token
-//! with the part of the prompt that is not cached.
+//! Tokens are a function of the prompt, so that a test can check that a response belongs to its
+//! request and is complete, and a stream can be resumed on another replica. The time per token
+//! grows with the batch, the time to the first token with the uncached part of the prompt.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -23,32 +22,34 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::record::{RunHistory, RunRecord};
-use crate::serve::{Answer, BrokenBody, ChannelBody, ChunkSender, NodePort, Power, json_answer};
+use crate::serve::{
+    Answer, ChannelBody, ChunkSender, NodePort, ProcessState, TruncatedBody, json_answer,
+};
 
-/// Tokens generated where the caller names no number.
+/// Tokens generated for a request without `max_tokens`.
 const DEFAULT_TOKENS: u32 = 32;
-/// Bytes of prompt in one cached block.
+/// Size of a block of the prefix cache, in bytes of the prompt.
 const BLOCK_BYTES: usize = 256;
 
-/// Prompt that ends each model worker that begins to run it.
+/// Prompt that crashes each model worker that starts to run it.
 pub const CRASHING_PROMPT: &str = "end the worker";
 
-/// Times and limits of a stand-in model worker.
+/// Timing and limits of a stand-in model worker.
 #[derive(Clone, Debug)]
 pub struct ModelConfig {
-    /// Time to load weights from the store.
+    /// Time to load weights from the store; weights on the node load in a quarter of it.
     pub load: Duration,
-    /// Time between tokens of an idle engine.
+    /// Time between tokens, up to the full batch.
     pub token: Duration,
     /// Time to compute one uncached block of the prompt.
     pub block: Duration,
-    /// Requests that the batch holds before tokens become slower.
+    /// Size of the batch above which the time between tokens grows.
     pub batch: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Age of the load figure that the node reports.
+    /// Shortest time between two updates of the load that the node reports.
     pub report_lag: Duration,
-    /// Time for which a request runs that ends its worker.
+    /// Time between the start of [`CRASHING_PROMPT`] and the crash.
     pub crash_delay: Duration,
 }
 
@@ -66,7 +67,7 @@
     }
 }
 
-/// The token that every stand-in gives at a position of the answer to a prompt.
+/// Returns the token that all stand-ins generate at a position of the response to a prompt.
 pub fn expected_token(prompt: &str, index: u32) -> String {
     let hash = xxh3_64(format!("{prompt}/{index}").as_bytes());
     format!("{index}:{:04x} ", hash & 0xffff)
@@ -79,16 +80,18 @@
     pub(crate) owner: Option<String>,
     pub(crate) state: NodeState,
     pub(crate) order: Option<LoadOrder>,
-    changed: Instant,
+    epoch_changed: Instant,
     running: u32,
     reported: (Instant, u32),
     weights: BTreeSet<String>,
     cache: VecDeque<u64>,
-    /// Orders accepted while another owner's or a later one stood; must stay 0.
+    /// Accepted orders whose epoch was older than the node's. Only a node that does not check epochs
+    /// accepts them. Tests require 0, since daemons must not send stale orders.
     pub(crate) stale_orders_accepted: u32,
 }
 
-/// For how long a replica has lacked a member, none where all are up and hold its epoch.
+/// Returns for how long a replica has been missing a member, `None` if all members run and have
+/// its epoch.
 pub(crate) type MembersCheck = Arc<dyn Fn(&[NodeId], Epoch) -> Option<Duration> + Send + Sync>;
 
 pub(crate) struct ModelNode {
@@ -110,7 +113,7 @@
             owner: None,
             state: NodeState::Idle,
             order: None,
-            changed: Instant::now(),
+            epoch_changed: Instant::now(),
             running: 0,
             reported: (Instant::now(), 0),
             weights: BTreeSet::new(),
@@ -120,14 +123,14 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, ModelState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state.lock().expect("the mutex is not poisoned")
     }
 
     pub(crate) async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Answer {
         let path = request.uri().path().to_owned();
         match path.as_str() {
             "/hollowbarrow/v1/report" => json_answer(StatusCode::OK, &self.report()),
-            "/hollowbarrow/v1/order" => self.take_order(request).await,
+            "/hollowbarrow/v1/order" => self.accept_order(request).await,
             "/v1/chat/completions" | "/v1/completions" => self.complete(request).await,
             _ => json_answer(StatusCode::NOT_FOUND, &json!({"error": "no such path"})),
         }
@@ -150,7 +153,7 @@
         }
     }
 
-    async fn take_order(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn accept_order(self: Arc<Self>, request: Request<Incoming>) -> Answer {
         let Ok(body) = request.into_body().collect().await else {
             return json_answer(StatusCode::BAD_REQUEST, &json!({}));
         };
@@ -170,7 +173,7 @@
         }
         let repeated = state.epoch == order.epoch && state.state != NodeState::Idle;
         if state.epoch != order.epoch {
-            state.changed = Instant::now();
+            state.epoch_changed = Instant::now();
         }
         state.epoch = order.epoch;
         match order.order {
@@ -192,11 +195,11 @@
         json_answer(StatusCode::ACCEPTED, &json!({}))
     }
 
-    /// Loads weights, from the store unless the node holds them.
+    /// Loads weights, from the store unless the node has them.
     async fn load(self: Arc<Self>, load: LoadOrder, epoch: Epoch, start: StartId) {
         let name = weights_name(&load.model, &load.version);
-        let held = self.lock().weights.contains(&name);
-        if held {
+        let cached = self.lock().weights.contains(&name);
+        if cached {
             tokio::time::sleep(self.config.load / 4).await;
         } else {
             let _permit = self.store.acquire().await;
@@ -222,29 +225,29 @@
         if let Some(refusal) = self.refuse(&job) {
             return refusal;
         }
-        let ticket = RunTicket::new(&self);
-        self.note_run(&job);
+        let guard = BatchGuard::new(&self);
+        self.record_run(&job);
         if job.prompt.contains(CRASHING_PROMPT)
             && let Some(port) = self.port.get()
         {
             tokio::time::sleep(self.config.crash_delay).await;
-            port.set_power(Power::Off);
+            port.set_process_state(ProcessState::Stopped);
         }
         let uncached = self.compute_prefix(&job.prompt);
         let first = self.config.token + self.config.block * uncached;
         if job.stream {
             let (sender, body) = ChannelBody::new();
-            let identity = job.request_id.clone();
+            let request_id = job.request_id.clone();
             let node = Arc::clone(&self);
-            tokio::spawn(async move { node.stream(job, first, sender, ticket).await });
+            tokio::spawn(async move { node.stream(job, first, sender, guard).await });
             return Response::builder()
                 .header("content-type", "text/event-stream")
-                .header("x-request-id", identity)
+                .header("x-request-id", request_id)
                 .body(body)
-                .expect("a plain answer is valid");
+                .expect("the response has a valid status and valid headers");
         }
         tokio::time::sleep(first + self.token_time() * job.tokens).await;
-        drop(ticket);
+        drop(guard);
         let text: String =
             (0..job.tokens).map(|index| expected_token(&job.prompt, index)).collect();
         let mut answer = json_answer(
@@ -267,7 +270,7 @@
         answer
     }
 
-    /// Refuses what this node cannot serve; the request has not run then.
+    /// Returns a refusal that says `not_run` unless this node can serve the request.
     fn refuse(&self, job: &CompletionJob) -> Option<Answer> {
         let state = self.lock();
         let stale = self.checks_orders && job.epoch.is_some_and(|epoch| epoch != state.epoch);
@@ -279,7 +282,7 @@
         Some(json_answer(StatusCode::CONFLICT, &reason))
     }
 
-    fn note_run(&self, job: &CompletionJob) {
+    fn record_run(&self, job: &CompletionJob) {
         let (members, epoch, draining) = {
             let state = self.lock();
             let members = state.order.as_ref().map(|order| order.members.clone());
@@ -290,25 +293,25 @@
             node: self.id.to_string(),
             missing_ms: (self.members)(&members, epoch)
                 .map_or(0, |missing| u64::try_from(missing.as_millis()).unwrap_or(u64::MAX)),
-            past_deadline: job.late,
+            past_deadline: job.past_deadline,
             draining,
         });
     }
 
-    /// Puts a prompt's blocks into the cache and returns how many were missing.
+    /// Adds a prompt's blocks to the cache and returns how many were missing.
     fn compute_prefix(&self, prompt: &str) -> u32 {
         let mut state = self.lock();
-        let mut seed = 0;
+        let mut prefix_hash = 0;
         let mut missing = 0;
         for block in prompt.as_bytes().chunks(BLOCK_BYTES) {
-            seed = xxh3_64(&[&u64::to_le_bytes(seed), block].concat());
-            match state.cache.iter().position(|held| *held == seed) {
+            prefix_hash = xxh3_64(&[&u64::to_le_bytes(prefix_hash), block].concat());
+            match state.cache.iter().position(|entry| *entry == prefix_hash) {
                 Some(position) => {
                     state.cache.remove(position);
                 }
                 None => missing += 1,
             }
-            state.cache.push_back(seed);
+            state.cache.push_back(prefix_hash);
         }
         while state.cache.len() > self.config.cache_blocks {
             state.cache.pop_front();
@@ -316,7 +319,7 @@
         missing
     }
 
-    /// Time between tokens at the present batch.
+    /// Returns the time between tokens for the current batch.
     fn token_time(&self) -> Duration {
         let running = self.lock().running;
         let factor = (f64::from(running) / f64::from(self.config.batch)).max(1.0);
@@ -328,7 +331,7 @@
         job: CompletionJob,
         first: Duration,
         sender: ChunkSender,
-        _ticket: RunTicket,
+        _guard: BatchGuard,
     ) {
         let mut watcher = match self.port.get() {
             Some(port) => port.watch(),
@@ -341,14 +344,14 @@
             (state.start, state.epoch, members.unwrap_or_default())
         };
         for index in job.resume_from..job.tokens {
-            NodePort::pass(&mut watcher).await;
+            NodePort::wait_until_resumed(&mut watcher).await;
             let lost = {
                 let state = self.lock();
                 state.start != start || state.epoch != epoch
             };
             if lost || (self.members)(&members, epoch).is_some() {
-                // Losing a member kills the replica and all that it generates.
-                let _ = sender.send(Err(BrokenBody)).await;
+                // The loss of a member stops the replica and all its streams.
+                let _ = sender.send(Err(TruncatedBody)).await;
                 return;
             }
             let text = expected_token(&job.prompt, index);
@@ -373,31 +376,31 @@
         let _ = sender.send(Ok(Bytes::from(format!("data: {last}\n\ndata: [DONE]\n\n")))).await;
     }
 
-    /// For how long this node has not been a member under an epoch, none where it is one.
-    pub(crate) fn missing_since(&self, epoch: Epoch) -> Option<Instant> {
+    /// Returns since when this node has not been a member under an epoch, `None` if it is one.
+    pub(crate) fn member_missing_since(&self, epoch: Epoch) -> Option<Instant> {
         let port = self.port.get()?;
-        if port.power() == Power::Off {
-            return Some(port.switched());
+        if port.process_state() == ProcessState::Stopped {
+            return Some(port.changed_at());
         }
         let state = self.lock();
         let member = state.epoch == epoch && state.state != NodeState::Idle;
-        (!member).then_some(state.changed)
+        (!member).then_some(state.epoch_changed)
     }
 }
 
-/// Counts a request in the batch until it ends.
-struct RunTicket {
+/// Counts a request as part of the batch until it is dropped.
+struct BatchGuard {
     node: Arc<ModelNode>,
 }
 
-impl RunTicket {
+impl BatchGuard {
     fn new(node: &Arc<ModelNode>) -> Self {
         node.lock().running += 1;
         Self { node: Arc::clone(node) }
     }
 }
 
-impl Drop for RunTicket {
+impl Drop for BatchGuard {
     fn drop(&mut self) {
         let mut state = self.node.lock();
         state.running = state.running.saturating_sub(1);
@@ -413,7 +416,7 @@
     tokens: u32,
     stream: bool,
     resume_from: u32,
-    late: bool,
+    past_deadline: bool,
 }
 
 impl CompletionJob {
@@ -435,7 +438,7 @@
             model: body["model"].as_str().unwrap_or_default().to_owned(),
             prompt,
             tokens,
-            late: header("x-hollowbarrow-deadline-ms") == "0",
+            past_deadline: header("x-hollowbarrow-deadline-ms") == "0",
             stream: body["stream"].as_bool().unwrap_or(false),
             resume_from: body["resume_from"].as_u64().unwrap_or(0) as u32,
         }
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Stands between two processes and harms what passes.
+//! TCP proxies that inject faults into the connections between two processes.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -12,35 +12,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes copied at once.
+/// Size of the buffer of one read, in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
-/// One in this many buffers is harmed by the damaging modes.
-const HARM_RATE: u32 = 20;
+/// The modes that alter data change one in this many buffers.
+const FAULT_RATE: u32 = 20;
 
-/// What the proxy does.
+/// How a proxy treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultMode {
-    /// Passes everything on.
+    /// Forwards all data unchanged.
     Pass,
-    /// Closes all connections and refuses new ones.
+    /// Closes all connections; new ones are closed as soon as they are accepted.
     Disconnect,
-    /// Keeps connections but passes nothing on in either direction.
+    /// Keeps connections open but forwards nothing in either direction.
     Blackhole,
-    /// Passes on only what the dialling side says.
+    /// Forwards only data from the side that opened the connection.
     BlackholeReplies,
-    /// Holds each buffer back.
+    /// Delays each buffer.
     Delay(Duration),
-    /// Now and then changes a byte.
+    /// Flips a bit in some buffers.
     Corrupt,
-    /// Now and then repeats a buffer.
+    /// Sends some buffers twice.
     Duplicate,
-    /// Now and then leaves the end of a buffer out.
+    /// Drops the end of some buffers.
     Truncate,
-    /// Now and then puts the second half of a buffer before the first.
+    /// Swaps the halves of some buffers.
     Reorder,
 }
 
-/// A running proxy to one address.
+/// A running proxy to one address, with one fault mode for all connections.
 #[derive(Clone, Debug)]
 pub struct FaultProxy {
     address: SocketAddr,
@@ -51,60 +51,61 @@
     /// Starts a proxy on a free port of the current runtime.
     pub fn start(target: SocketAddr, seed: u64) -> Self {
         let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
-            .expect("the kernel gives a free port");
+            .expect("a free local port can be bound");
         let address = listener.local_addr().expect("a bound socket has an address");
-        listener.set_nonblocking(true).expect("a fresh socket can be made nonblocking");
+        listener.set_nonblocking(true).expect("a new socket can be set to non-blocking");
         let (mode, watcher) = watch::channel(FaultMode::Pass);
         tokio::spawn(run_proxy(listener, target, move |_| watcher.clone(), seed));
         Self { address, mode }
     }
 
-    /// Where the proxy listens.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what the proxy does, on open connections too.
+    /// Changes the fault mode, also of open connections.
     pub fn set_mode(&self, mode: FaultMode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// A proxy to one daemon that harms what passes by where it comes from.
+/// A proxy to one daemon with a fault mode for each source address.
 #[derive(Debug)]
 pub struct LinkProxy {
     modes: Arc<SourceModes>,
 }
 
-/// What the proxy does to connections from each IP number.
+/// Fault mode of the connections from each IP address.
 #[derive(Debug, Default)]
 struct SourceModes(Mutex<HashMap<IpAddr, watch::Sender<FaultMode>>>);
 
 impl SourceModes {
     fn watch(&self, source: IpAddr) -> watch::Receiver<FaultMode> {
-        let mut modes = self.0.lock().expect("no holder of the lock panics");
+        let mut modes = self.0.lock().expect("the mutex is not poisoned");
         modes.entry(source).or_insert_with(|| watch::channel(FaultMode::Pass).0).subscribe()
     }
 
     fn set(&self, source: IpAddr, mode: FaultMode) {
-        let mut modes = self.0.lock().expect("no holder of the lock panics");
+        let mut modes = self.0.lock().expect("the mutex is not poisoned");
         let sender = modes.entry(source).or_insert_with(|| watch::channel(FaultMode::Pass).0);
         sender.send_replace(mode);
     }
 }
 
 impl LinkProxy {
-    /// Starts a proxy on an address of its own.
+    /// Starts a proxy that listens on a given address.
     pub fn start(address: SocketAddr, target: SocketAddr, seed: u64) -> Self {
-        let listener = std::net::TcpListener::bind(address).expect("the address is free");
-        listener.set_nonblocking(true).expect("a fresh socket can be made nonblocking");
+        let listener =
+            std::net::TcpListener::bind(address).expect("the listen address is not in use");
+        listener.set_nonblocking(true).expect("a new socket can be set to non-blocking");
         let modes: Arc<SourceModes> = Arc::default();
         let watched = Arc::clone(&modes);
         tokio::spawn(run_proxy(listener, target, move |source| watched.watch(source), seed));
         Self { modes }
     }
 
-    /// Changes what becomes of connections from an IP number, of open ones too.
+    /// Changes the fault mode of connections from an IP address, also of open ones.
     pub fn set_mode(&self, source: IpAddr, mode: FaultMode) {
         self.modes.set(source, mode);
     }
@@ -119,40 +120,41 @@
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     let mut connection = 0;
     loop {
-        let Ok((near, source)) = listener.accept().await else { return };
+        let Ok((client, source)) = listener.accept().await else { return };
         let watcher = watch(source.ip());
         if *watcher.borrow() == FaultMode::Disconnect {
             continue;
         }
         connection += 1;
-        tokio::spawn(join_sockets(near, target, watcher, seed ^ connection));
+        tokio::spawn(proxy_connection(client, target, watcher, seed ^ connection));
     }
 }
 
-async fn join_sockets(
-    near: TcpStream,
+async fn proxy_connection(
+    client: TcpStream,
     target: SocketAddr,
     mut watcher: watch::Receiver<FaultMode>,
     seed: u64,
 ) {
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = copy_harmed(near_read, far_write, watcher.clone(), false, seed);
-    let back = copy_harmed(far_read, near_write, watcher.clone(), true, seed ^ 0xff);
+    let Ok(server) = TcpStream::connect(target).await else { return };
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = forward_with_faults(client_read, server_write, watcher.clone(), false, seed);
+    let replies =
+        forward_with_faults(server_read, client_write, watcher.clone(), true, seed ^ 0xff);
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
+        () = async { tokio::join!(requests, replies); } => {}
         _ = watcher.wait_for(|mode| *mode == FaultMode::Disconnect) => {}
     }
 }
 
-async fn copy_harmed(
+async fn forward_with_faults(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut watcher: watch::Receiver<FaultMode>,
-    answers: bool,
+    is_reply: bool,
     seed: u64,
 ) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -162,24 +164,24 @@
             Ok(0) | Err(_) => break,
             Ok(length) => length,
         };
-        let silent = |mode: &FaultMode| {
-            *mode == FaultMode::Blackhole || (answers && *mode == FaultMode::BlackholeReplies)
+        let blocked = |mode: &FaultMode| {
+            *mode == FaultMode::Blackhole || (is_reply && *mode == FaultMode::BlackholeReplies)
         };
-        if watcher.wait_for(|mode| !silent(mode)).await.is_err() {
+        if watcher.wait_for(|mode| !blocked(mode)).await.is_err() {
             break;
         }
         let mode = *watcher.borrow();
-        let harm = rng.random_range(0..HARM_RATE) == 0;
+        let inject = rng.random_range(0..FAULT_RATE) == 0;
         let mut bytes = buffer[..length].to_vec();
         match mode {
             FaultMode::Delay(delay) => tokio::time::sleep(delay).await,
-            FaultMode::Corrupt if harm => {
+            FaultMode::Corrupt if inject => {
                 let position = rng.random_range(0..bytes.len());
                 bytes[position] ^= 1 << rng.random_range(0..8);
             }
-            FaultMode::Duplicate if harm => bytes.extend_from_within(..),
-            FaultMode::Reorder if harm => bytes.rotate_left(length / 2),
-            FaultMode::Truncate if harm => bytes.truncate(rng.random_range(0..bytes.len())),
+            FaultMode::Duplicate if inject => bytes.extend_from_within(..),
+            FaultMode::Reorder if inject => bytes.rotate_left(length / 2),
+            FaultMode::Truncate if inject => bytes.truncate(rng.random_range(0..bytes.len())),
             _ => {}
         }
         if to.write_all(&bytes).await.is_err() {
--- a/crates/testkit/src/serve.rs
+++ b/crates/testkit/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP on a local port, with the faults of a node.
+//! Serves HTTP on a local port, with a process that can be paused, stopped and restarted.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::pin::Pin;
@@ -15,29 +15,29 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-/// Time in which a node that goes on finds out which connections were closed meanwhile.
-const WAKE_PAUSE: Duration = Duration::from_millis(50);
-/// Chunks that may wait between a handler and its connection.
+/// Time in which a resumed node detects the connections that were closed while it was paused.
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+/// Capacity of the channel between a handler and its connection, in chunks.
 const BODY_CHUNKS: usize = 16;
 
-/// A body whose chunks come over a channel.
+/// A response body whose chunks are received from a channel.
 pub(crate) struct ChannelBody {
-    chunks: mpsc::Receiver<Result<Bytes, BrokenBody>>,
+    chunks: mpsc::Receiver<Result<Bytes, TruncatedBody>>,
 }
 
-/// Ends a body in the middle.
+/// Error that truncates a response body.
 #[derive(Debug)]
-pub(crate) struct BrokenBody;
+pub(crate) struct TruncatedBody;
 
-impl std::fmt::Display for BrokenBody {
+impl std::fmt::Display for TruncatedBody {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the stand-in broke its answer off")
+        formatter.write_str("the stand-in truncated its response")
     }
 }
 
-impl std::error::Error for BrokenBody {}
+impl std::error::Error for TruncatedBody {}
 
-pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, BrokenBody>>;
+pub(crate) type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedBody>>;
 
 impl ChannelBody {
     pub(crate) fn new() -> (ChunkSender, Self) {
@@ -45,9 +45,9 @@
         (sender, Self { chunks })
     }
 
-    pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
+    pub(crate) fn complete(bytes: impl Into<Bytes>) -> Self {
         let (sender, body) = Self::new();
-        // The channel has room for the one chunk.
+        // The new channel has capacity for one chunk.
         let _ = sender.try_send(Ok(bytes.into()));
         body
     }
@@ -55,12 +55,12 @@
 
 impl Body for ChannelBody {
     type Data = Bytes;
-    type Error = BrokenBody;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenBody>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         self.chunks.poll_recv(context).map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
     }
 }
@@ -68,86 +68,86 @@
 pub(crate) type Answer = Response<ChannelBody>;
 
 pub(crate) fn json_answer(status: StatusCode, value: &impl serde::Serialize) -> Answer {
-    let body = serde_json::to_vec(value).expect("stand-ins' answers are JSON");
+    let body = serde_json::to_vec(value).expect("the response serialises to JSON");
     Response::builder()
         .status(status)
         .header("content-type", "application/json")
         .header("content-length", body.len())
-        .body(ChannelBody::whole(body))
-        .expect("a plain answer is valid")
+        .body(ChannelBody::complete(body))
+        .expect("the response has a valid status and valid headers")
 }
 
-/// Whether a node's process runs, is stopped in place, or is gone.
+/// State of a node's simulated process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Power {
-    On,
+pub(crate) enum ProcessState {
+    Running,
     Paused,
-    Off,
+    Stopped,
 }
 
-/// A listening node whose power can be switched.
+/// The HTTP server of a node, whose process state can be changed.
 #[derive(Clone)]
 pub(crate) struct NodePort {
     pub(crate) address: SocketAddr,
-    power: watch::Sender<Power>,
-    switched: Arc<std::sync::Mutex<tokio::time::Instant>>,
+    state: watch::Sender<ProcessState>,
+    changed_at: Arc<std::sync::Mutex<tokio::time::Instant>>,
 }
 
 impl NodePort {
-    /// Binds a free port and serves with a handler while the power is on.
+    /// Binds a free port and serves requests with a handler while the process runs.
     pub(crate) fn serve<H, F>(handler: H) -> Self
     where
         H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
         F: Future<Output = Answer> + Send + 'static,
     {
         let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
-            .expect("the kernel gives a free port");
+            .expect("a free local port can be bound");
         let address = listener.local_addr().expect("a bound socket has an address");
-        let (power, watcher) = watch::channel(Power::On);
-        listener.set_nonblocking(true).expect("a fresh socket can be made nonblocking");
+        let (state, watcher) = watch::channel(ProcessState::Running);
+        listener.set_nonblocking(true).expect("a new socket can be set to non-blocking");
         tokio::spawn(run_port(address, listener, Arc::new(handler), watcher));
-        let switched = Arc::new(std::sync::Mutex::new(tokio::time::Instant::now()));
-        Self { address, power, switched }
+        let changed_at = Arc::new(std::sync::Mutex::new(tokio::time::Instant::now()));
+        Self { address, state, changed_at }
     }
 
-    pub(crate) fn set_power(&self, power: Power) {
-        *self.switched.lock().expect("no holder of the lock panics") = tokio::time::Instant::now();
-        self.power.send_replace(power);
+    pub(crate) fn set_process_state(&self, state: ProcessState) {
+        *self.changed_at.lock().expect("the mutex is not poisoned") = tokio::time::Instant::now();
+        self.state.send_replace(state);
     }
 
-    /// When the power was last switched.
-    pub(crate) fn switched(&self) -> tokio::time::Instant {
-        *self.switched.lock().expect("no holder of the lock panics")
+    /// Returns the time of the last change of the process state.
+    pub(crate) fn changed_at(&self) -> tokio::time::Instant {
+        *self.changed_at.lock().expect("the mutex is not poisoned")
     }
 
-    pub(crate) fn power(&self) -> Power {
-        *self.power.borrow()
+    pub(crate) fn process_state(&self) -> ProcessState {
+        *self.state.borrow()
     }
 
-    /// Waits while the node is paused; a handler calls this before each step.
-    pub(crate) async fn pass(watcher: &mut watch::Receiver<Power>) {
-        let _ = watcher.wait_for(|power| *power != Power::Paused).await;
+    /// Waits while the process is paused; handlers call this before each step.
+    pub(crate) async fn wait_until_resumed(watcher: &mut watch::Receiver<ProcessState>) {
+        let _ = watcher.wait_for(|state| *state != ProcessState::Paused).await;
     }
 
-    pub(crate) fn watch(&self) -> watch::Receiver<Power> {
-        self.power.subscribe()
+    pub(crate) fn watch(&self) -> watch::Receiver<ProcessState> {
+        self.state.subscribe()
     }
 }
 
 async fn run_port<H, F>(
     address: SocketAddr,
-    first: std::net::TcpListener,
+    initial: std::net::TcpListener,
     handler: Arc<H>,
-    mut watcher: watch::Receiver<Power>,
+    mut watcher: watch::Receiver<ProcessState>,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Answer> + Send + 'static,
 {
-    let mut listener = TcpListener::from_std(first).ok();
+    let mut listener = TcpListener::from_std(initial).ok();
     loop {
-        if *watcher.borrow_and_update() == Power::Off {
+        if *watcher.borrow_and_update() == ProcessState::Stopped {
             listener = None;
-            if watcher.wait_for(|power| *power != Power::Off).await.is_err() {
+            if watcher.wait_for(|state| *state != ProcessState::Stopped).await.is_err() {
                 return;
             }
         }
@@ -170,7 +170,7 @@
 async fn serve_connection<H, F>(
     stream: tokio::net::TcpStream,
     handler: Arc<H>,
-    mut watcher: watch::Receiver<Power>,
+    mut watcher: watch::Receiver<ProcessState>,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Answer> + Send + 'static,
@@ -180,11 +180,11 @@
         let handler = Arc::clone(&handler);
         let mut paused = paused.clone();
         async move {
-            if *paused.borrow() == Power::Paused {
-                NodePort::pass(&mut paused).await;
-                // Whoever gave up meanwhile has closed the connection, and an engine that goes on
-                // finds that before it runs the request.
-                tokio::time::sleep(WAKE_PAUSE).await;
+            if *paused.borrow() == ProcessState::Paused {
+                NodePort::wait_until_resumed(&mut paused).await;
+                // A caller that gave up during the pause has closed the connection. A resumed
+                // engine detects this before it runs the request.
+                tokio::time::sleep(RESUME_DELAY).await;
             }
             Ok::<_, std::convert::Infallible>(handler(request).await)
         }
@@ -192,6 +192,6 @@
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         _ = connection => {}
-        _ = watcher.wait_for(|power| *power == Power::Off) => {}
+        _ = watcher.wait_for(|state| *state == ProcessState::Stopped) => {}
     }
 }
--- a/crates/testkit/src/service.rs
+++ b/crates/testkit/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service: pitches that are free, and holds that must not be doubled.
+//! A stand-in plain service: reads of free pitches, and holds that must not be executed twice.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/tests/all/crashing_request.rs
+++ b/tests/all/crashing_request.rs
@@ -17,7 +17,7 @@
 const SPREAD_MS: u64 = 1500;
 
 fn ended_nodes(cluster: &Cluster) -> usize {
-    cluster.fleet().model_nodes().len() - cluster.fleet().live_models().len()
+    cluster.fleet().model_nodes().len() - cluster.fleet().running_models().len()
 }
 
 #[rstest]
