--- a/crates/testkit/src/caller.rs
+++ b/crates/testkit/src/caller.rs
@@ -155,7 +155,8 @@
                     reply.first_byte.get_or_insert(now - started);
                     reply.chunk_times.push(now);
                     bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
-                    // Updated for each chunk, so that the reply of a call that times out has the body so far.
+                    // Updated for each chunk, so that the reply of a call that times out has the
+                    // body so far.
                     reply.body = String::from_utf8_lossy(&bytes).into_owned();
                 }
             }
--- a/crates/testkit/src/cluster.rs
+++ b/crates/testkit/src/cluster.rs
@@ -111,8 +111,8 @@
 /// Number of running clusters of this process, and a signal that one was dropped.
 static RUNNING: (Mutex<u32>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// Permit to run a cluster. More clusters at once would starve each other of processor time, so that
-/// leases would expire without a fault in the daemons.
+/// Permit to run a cluster. More clusters at once would starve each other of processor time, so
+/// that leases would expire without a fault in the daemons.
 struct ClusterSlot;
 
 impl ClusterSlot {
@@ -443,8 +443,8 @@
         serde_json::from_str(&reply.body).unwrap_or_default()
     }
 
-    /// Submits a change through a daemon and retries while the daemon cannot be reached or answers 503
-    /// or 504.
+    /// Submits a change through a daemon and retries while the daemon cannot be reached or answers
+    /// 503 or 504.
     pub async fn submit_change(&self, id: &str, change_id: &str, command: &Value) -> CallReply {
         let body = json!({"id": change_id, "author": "tests", "command": command});
         let started = Instant::now();
@@ -476,7 +476,8 @@
         found.and_then(|group| group["serving"].as_u64()).unwrap_or(0)
     }
 
-    /// Waits until a daemon reports a number of serving replicas of a group; returns false on timeout.
+    /// Waits until a daemon reports a number of serving replicas of a group; returns false on
+    /// timeout.
     pub async fn wait_serving(&self, id: &str, group: &str, expected: u64) -> bool {
         let started = Instant::now();
         while self.serving_count(id, group).await != expected {
--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -36,8 +36,8 @@
 }
 
 impl FleetConfig {
-    /// Creates a fleet with `domains` fabric domains in each availability zone and `nodes` model nodes
-    /// in each domain.
+    /// Creates a fleet with `domains` fabric domains in each availability zone and `nodes` model
+    /// nodes in each domain.
     pub fn new(zones: &[ZoneId], domains: u32, nodes: u32) -> Self {
         Self {
             zones: zones.to_vec(),
@@ -184,7 +184,8 @@
         format!("{}?{}", self.platform_url(), **zone)
     }
 
-    /// Replaces a node's address in the list of a zone, for example by that of a proxy between zones.
+    /// Replaces a node's address in the list of a zone, for example by that of a proxy between
+    /// zones.
     pub fn override_address(&self, zone: &ZoneId, node: &NodeId, address: SocketAddr) {
         let key = (zone.clone(), node.clone());
         self.address_overrides.write().expect("the lock is not poisoned").insert(key, address);
@@ -237,7 +238,8 @@
         self.with_node(id, |node| node.port.set_process_state(ProcessState::Stopped));
     }
 
-    /// Makes a node reject requests with a `Retry-After` delay in whole seconds, or serve them again.
+    /// Makes a node reject requests with a `Retry-After` delay in whole seconds, or serve them
+    /// again.
     pub fn reject_requests(&self, id: &NodeId, backoff: Option<Duration>) {
         self.with_node(id, |node| node.rejection_control.set_backoff(backoff));
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,5 @@
-//! Simulated upstreams, clusters of daemons and fault injection for tests, measurements and the demo.
+//! Simulated upstreams, clusters of daemons and fault injection for tests, measurements and the
+//! demo.
 //!
 //! [`StandinFleet`] runs stand-in model workers, plain services and the platform's node list
 //! on local ports. [`FaultProxy`] forwards connections between two processes and disconnects,
--- a/crates/testkit/src/model.rs
+++ b/crates/testkit/src/model.rs
@@ -85,8 +85,8 @@
     reported: (Instant, u32),
     weights: BTreeSet<String>,
     cache: VecDeque<u64>,
-    /// Accepted orders whose epoch was older than the node's. Only a node that does not check epochs
-    /// accepts them. Tests require 0, since daemons must not send stale orders.
+    /// Accepted orders whose epoch was older than the node's. Only a node that does not check
+    /// epochs accepts them. Tests require 0, since daemons must not send stale orders.
     pub(crate) stale_orders_accepted: u32,
 }
 
--- a/crates/testkit/src/rejection.rs
+++ b/crates/testkit/src/rejection.rs
@@ -1,4 +1,5 @@
-//! Nodes that reject requests with a `Retry-After` delay, or report a rate limit in their responses.
+//! Nodes that reject requests with a `Retry-After` delay, or report a rate limit in their
+//! responses.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/tests/all/backoff.rs
+++ b/tests/all/backoff.rs
@@ -1,7 +1,7 @@
-//! Nodes that turn requests away and ask for none for some seconds.
+//! Nodes that reject requests with a `Retry-After` delay.
 //!
-//! Entry daemons told the caller when to come back, and sent the next request there at once: the
-//! node was the least loaded one, since it ran nothing.
+//! Guards against entry daemons that pass the delay to the caller but send the next request to the
+//! same node at once. A rejecting node runs nothing, so that it is the least loaded one.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use crate::requests::stream;
 use crate::support::{nine_daemons, serving_cluster};
 
-/// Time for which nodes ask for no requests.
-const ASKED: Duration = Duration::from_secs(3);
-/// Time in which a request that was under way already may still come to a node.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// The daemon that is asked.
+/// `Retry-After` delay of the rejecting nodes.
+const BACKOFF: Duration = Duration::from_secs(3);
+/// Time in which a request that was already in flight can still reach a node.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(500);
+/// The daemon that receives the requests.
 const DAEMON: &str = "a0";
-/// Callers that ask it again and again.
+/// Number of callers that send requests in a loop.
 const CALLERS: usize = 8;
 
-/// Which nodes are asked.
+/// Kind of nodes that serve the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Plain,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Asks until a while is over; what callers got.
+/// Sends requests from all callers for a time and returns the replies.
 async fn call_for(cluster: &Cluster, kind: Kind, time: Duration) -> Vec<CallReply> {
     let end = Instant::now() + time;
     let callers = (0..CALLERS).map(|caller| async move {
@@ -64,16 +64,16 @@
     futures_util::future::join_all(callers).await.concat()
 }
 
-/// Times from a node's first refusal to later ones within the time that it asked for, those that
-/// may have been under way aside.
-fn against_backoff(cluster: &Cluster, node: &NodeId) -> Vec<Duration> {
-    let turned_away = cluster.fleet().rejections(node);
-    let Some(first) = turned_away.first() else { return Vec::new() };
-    let since = turned_away.iter().map(|at| at.saturating_duration_since(*first));
-    since.filter(|since| *since >= UNDER_WAY && *since < ASKED).collect()
+/// Returns the times from a node's first rejection to later ones during its backoff, without those
+/// whose request can have been in flight.
+fn rejections_during_backoff(cluster: &Cluster, node: &NodeId) -> Vec<Duration> {
+    let rejections = cluster.fleet().rejections(node);
+    let Some(first) = rejections.first() else { return Vec::new() };
+    let since = rejections.iter().map(|at| at.saturating_duration_since(*first));
+    since.filter(|since| *since >= IN_FLIGHT_GRACE && *since < BACKOFF).collect()
 }
 
-/// The nodes of one zone ask for no requests; those of others serve.
+/// The nodes of one zone reject requests, and those of other zones serve them.
 #[rstest]
 #[case::plain(Kind::Plain)]
 #[case::model(Kind::Model)]
@@ -82,20 +82,24 @@
     let cluster = serving_cluster(nine_daemons(), 6).await;
     let is_near = |node: &NodeId| node.starts_with("a-");
     let near: Vec<NodeId> = kind.nodes(&cluster).into_iter().filter(is_near).collect();
-    near.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(ASKED)));
-    let replies = call_for(&cluster, kind, ASKED).await;
-    let asked = near.iter().filter(|node| !cluster.fleet().rejections(node).is_empty()).count();
-    assert!(asked > 0, "none of {near:?} was asked");
+    near.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(BACKOFF)));
+    let replies = call_for(&cluster, kind, BACKOFF).await;
+    let rejecting = near.iter().filter(|node| !cluster.fleet().rejections(node).is_empty()).count();
+    assert!(rejecting > 0, "none of {near:?} rejected a request");
     for node in &near {
-        let against = against_backoff(&cluster, node);
-        assert!(against.is_empty(), "{node:?} got {} requests: {against:?}", against.len());
+        let violations = rejections_during_backoff(&cluster, node);
+        assert!(
+            violations.is_empty(),
+            "{node:?} got {} requests: {violations:?}",
+            violations.len()
+        );
     }
-    // The first of each caller may be turned away, as its node's answer.
+    // The first request of each caller can be answered with its node's rejection.
     let refused = replies.iter().filter(|reply| reply.status != 200).count();
     assert!(refused <= CALLERS, "{refused} of {} were not served", replies.len());
 }
 
-/// Where all ask for none, callers are told so at once, and when to come back.
+/// While all nodes reject requests, callers are refused at once with a `Retry-After` delay.
 #[rstest]
 #[case::plain(Kind::Plain)]
 #[case::model(Kind::Model)]
@@ -103,19 +107,19 @@
 async fn backoff_of_all_nodes(#[case] kind: Kind) {
     let cluster = serving_cluster(nine_daemons(), 6).await;
     let nodes = kind.nodes(&cluster);
-    nodes.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(ASKED)));
-    call_for(&cluster, kind, UNDER_WAY).await;
+    nodes.iter().for_each(|node| cluster.fleet().reject_requests(node, Some(BACKOFF)));
+    call_for(&cluster, kind, IN_FLIGHT_GRACE).await;
     let counts = || nodes.iter().map(|node| cluster.fleet().rejections(node).len()).sum::<usize>();
     let before = counts();
     let start = Instant::now();
     let reply = kind.call(&cluster, "when all ask for none").await;
-    assert!(start.elapsed() < UNDER_WAY, "it is not held");
+    assert!(start.elapsed() < IN_FLIGHT_GRACE, "the request was not refused at once");
     assert_eq!((reply.status, reply.code().as_str()), (503, "no_upstream"), "{}", reply.body);
     assert_eq!(reply.ran(), "not_run");
-    let pause = reply.retry_after.expect("a time to come back");
-    assert!((1..=ASKED.as_secs()).contains(&pause), "{pause}");
-    assert_eq!(counts(), before, "it was sent to none");
+    let retry_after = reply.retry_after.expect("the refusal has a Retry-After delay");
+    assert!((1..=BACKOFF.as_secs()).contains(&retry_after), "{retry_after}");
+    assert_eq!(counts(), before, "the request was sent to a node");
     nodes.iter().for_each(|node| cluster.fleet().reject_requests(node, None));
-    tokio::time::sleep(ASKED).await;
+    tokio::time::sleep(BACKOFF).await;
     assert_eq!(kind.call(&cluster, "afterwards").await.status, 200);
 }
--- a/tests/all/command_line.rs
+++ b/tests/all/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, faults of settings, and the demo.
+//! Command line: exit codes, reports of invalid settings, the demo and the `why` subcommand.
 
 use std::process::{Command, Output};
 
@@ -8,7 +8,7 @@
     Command::new(env!("CARGO_BIN_EXE_hollowbarrow"))
         .args(arguments)
         .output()
-        .expect("the binary runs")
+        .expect("the binary can be executed")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -18,10 +18,10 @@
 #[rstest]
 fn run_demo() {
     let output = hollowbarrow(&["demo"]);
-    let told = text(&output.stdout);
-    assert!(output.status.success(), "{told}\n{}", text(&output.stderr));
-    assert!(told.contains("it ran once"), "{told}");
-    assert!(told.contains("repaired_s="), "{told}");
+    let output_text = text(&output.stdout);
+    assert!(output.status.success(), "{output_text}\n{}", text(&output.stderr));
+    assert!(output_text.contains("it ran once"), "{output_text}");
+    assert!(output_text.contains("repaired_s="), "{output_text}");
 }
 
 #[rstest]
@@ -32,37 +32,42 @@
 
 #[rstest]
 fn check_faults() {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("bad.jsonc");
-    std::fs::write(&path, "{\n  \"id\": 7,\n  \"colour\": true\n}\n").expect("writable");
+    std::fs::write(&path, "{\n  \"id\": 7,\n  \"colour\": true\n}\n")
+        .expect("the temporary folder is writable");
     let output = hollowbarrow(&["check", &path.to_string_lossy()]);
     assert_eq!(output.status.code(), Some(2));
-    let told = text(&output.stderr);
-    assert!(told.contains("line 2: id: found the number 7, allowed: string"), "{told}");
-    assert!(told.contains("line 3: colour: found an unknown field"), "{told}");
-    assert!(told.contains("organisations: found nothing"), "{told}");
+    let output_text = text(&output.stderr);
+    assert!(
+        output_text.contains("line 2: id: found the number 7, allowed: string"),
+        "{output_text}"
+    );
+    assert!(output_text.contains("line 3: colour: found an unknown field"), "{output_text}");
+    assert!(output_text.contains("organisations: found nothing"), "{output_text}");
 }
 
 #[rstest]
 fn check_member_faults() {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("member.jsonc");
-    let sound = r#"{"name": "g", "zone": "a", "ip": "10.0.0.1", "mesh_port": 7000,
+    let valid = r#"{"name": "g", "zone": "a", "ip": "10.0.0.1", "mesh_port": 7000,
         "seeds": ["10.0.0.2:80"], "cluster_keys": ["k"], "callers": "10.0.0.1:80"}"#;
-    std::fs::write(&path, sound).expect("writable");
+    std::fs::write(&path, valid).expect("the temporary folder is writable");
     let check = || hollowbarrow(&["check-member", &path.to_string_lossy()]);
     let output = check();
     assert!(output.status.success(), "{}", text(&output.stderr));
     assert!(text(&output.stdout).contains("for a gateway"));
-    std::fs::write(&path, sound.replace("10.0.0.2:80", "camp")).expect("writable");
+    std::fs::write(&path, valid.replace("10.0.0.2:80", "camp"))
+        .expect("the temporary folder is writable");
     let output = check();
     assert_eq!(output.status.code(), Some(2));
     assert!(text(&output.stderr).contains("seeds[0]"), "{}", text(&output.stderr));
 }
 
 #[rstest]
-fn why_tells_story() {
-    let folder = tempfile::tempdir().expect("a folder can be made");
+fn why_lists_causes() {
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let gateway = folder.path().join("gateway.log");
     let controller = folder.path().join("controller.log");
     let at = |second: u32, rest: &str| {
@@ -70,22 +75,24 @@
     };
     let failed = "event=request_failed request=\"q1\" route=r status=502 cause=outcome_unknown held_ms=9 sends=1 last=\"w-1: the upstream did not answer\"";
     let other = "event=request_failed request=\"q2\" route=r status=503 cause=workers_full held_ms=1 sends=0 last=\"\"";
-    std::fs::write(&gateway, at(20, failed) + &at(21, other)).expect("writable");
+    std::fs::write(&gateway, at(20, failed) + &at(21, other))
+        .expect("the temporary folder is writable");
     let probed = at(19, "event=worker_probed worker=w-1 outcome=Silent");
     let early = at(2, "event=worker_probed worker=w-1 outcome=Answered");
     let unrelated = at(20, "event=worker_probed worker=w-2 outcome=Silent");
-    std::fs::write(&controller, early + &probed + &unrelated).expect("writable");
+    std::fs::write(&controller, early + &probed + &unrelated)
+        .expect("the temporary folder is writable");
     let files = [gateway.to_string_lossy(), controller.to_string_lossy()];
     let output = hollowbarrow(&["why", "q1", &files[0], &files[1]]);
-    let told = text(&output.stdout);
-    let lines: Vec<&str> = told.lines().collect();
-    assert_eq!(lines.len(), 2, "{told}");
-    assert!(lines[0].contains("worker_probed worker=w-1 outcome=Silent"), "{told}");
-    assert!(lines[1].contains("request=\"q1\""), "{told}");
+    let output_text = text(&output.stdout);
+    let lines: Vec<&str> = output_text.lines().collect();
+    assert_eq!(lines.len(), 2, "{output_text}");
+    assert!(lines[0].contains("worker_probed worker=w-1 outcome=Silent"), "{output_text}");
+    assert!(lines[1].contains("request=\"q1\""), "{output_text}");
     assert_eq!(hollowbarrow(&["why", "q9", &files[0]]).status.code(), Some(3));
 }
 
-/// Lines of a day that was played on the users' bench, cut to what concerns three requests.
+/// Logs of a recorded load test, reduced to the lines about three requests.
 #[rstest]
 #[case::refused_without_a_worker(
     "8c4d46f4c1ed1fea",
@@ -102,16 +109,20 @@
 fn why_recorded_day(#[case] request: &str, #[case] expected: &[&str]) {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/all/recorded");
     let mut arguments = vec!["why".to_owned(), request.to_owned()];
-    for entry in std::fs::read_dir(folder).expect("the recorded logs are there") {
-        arguments.push(entry.expect("readable").path().to_string_lossy().into_owned());
+    for entry in std::fs::read_dir(folder).expect("the folder of the recorded logs is readable") {
+        arguments.push(
+            entry.expect("the folder entry is readable").path().to_string_lossy().into_owned(),
+        );
     }
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let output = hollowbarrow(&arguments);
-    let told = text(&output.stdout);
-    let mut rest = told.as_str();
-    for words in expected {
-        let at = rest.find(words).unwrap_or_else(|| panic!("no {words:?}, in order, in {told}"));
-        rest = &rest[at + words.len()..];
+    let output_text = text(&output.stdout);
+    let mut rest = output_text.as_str();
+    for pattern in expected {
+        let at = rest
+            .find(pattern)
+            .unwrap_or_else(|| panic!("no {pattern:?}, in order, in {output_text}"));
+        rest = &rest[at + pattern.len()..];
     }
 }
 
@@ -129,11 +140,13 @@
 
 #[rstest]
 fn exit_not_reached() {
-    // It is bound and does not listen. A port that was only free a moment ago may be taken by a
-    // daemon of another test, which answered once.
-    let held = tokio::net::TcpSocket::new_v4().expect("a socket can be made");
-    held.bind("127.0.0.1:0".parse().expect("an address")).expect("a port is free");
-    let server = format!("http://{}", held.local_addr().expect("bound"));
+    // The socket is bound and does not listen. A port that is only known to be free could be taken
+    // by a daemon of another test, which would answer.
+    let bound_socket = tokio::net::TcpSocket::new_v4().expect("a socket can be created");
+    bound_socket
+        .bind("127.0.0.1:0".parse().expect("the address is valid"))
+        .expect("a free local port can be bound");
+    let server = format!("http://{}", bound_socket.local_addr().expect("the socket is bound"));
     let output = hollowbarrow(&["status", "--server", &server]);
     assert_eq!(output.status.code(), Some(4), "{}", text(&output.stderr));
 }
@@ -156,7 +169,7 @@
         "hash-key",
         "completions",
     ] {
-        let told = text(&hollowbarrow(&[subcommand, "--help"]).stdout);
-        assert!(told.contains("Example"), "{subcommand} has no example");
+        let output_text = text(&hollowbarrow(&[subcommand, "--help"]).stdout);
+        assert!(output_text.contains("Example"), "{subcommand} has no example");
     }
 }
--- a/tests/all/configuration.rs
+++ b/tests/all/configuration.rs
@@ -1,4 +1,4 @@
-//! Accepted configuration: races, resends, cuts, restarts and disks, with real processes.
+//! Accepted configuration changes under races, resends, partitions, restarts and lost disks.
 
 use hollowbarrow_testkit::{Cluster, FaultMode, join_all};
 use hyper::Method;
@@ -13,9 +13,9 @@
     found.and_then(|group| group["revision"].as_u64())
 }
 
-async fn wait_revision(cluster: &Cluster, id: &str, name: &str, wanted: u64) -> bool {
+async fn wait_revision(cluster: &Cluster, id: &str, name: &str, expected: u64) -> bool {
     for _ in 0..400 {
-        if revision(cluster, id, name).await == Some(wanted) {
+        if revision(cluster, id, name).await == Some(expected) {
             return true;
         }
         pause(50).await;
@@ -23,18 +23,19 @@
     false
 }
 
-fn accepted(reply: &hollowbarrow_testkit::CallReply) -> u64 {
+fn accepted_revision(reply: &hollowbarrow_testkit::CallReply) -> u64 {
     let value: Value = serde_json::from_str(&reply.body).unwrap_or_default();
     value["accepted"].as_u64().unwrap_or_else(|| panic!("not accepted: {}", reply.body))
 }
 
-/// Operators race with equal numbers: one wins, the others see both sides.
+/// Of concurrent changes with the same base revision, one is accepted. The others get a conflict
+/// with the accepted change.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn change_race() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let base = accepted(&cluster.submit_change("a0", "first", &group("drafts", 0)).await);
+    let base = accepted_revision(&cluster.submit_change("a0", "first", &group("drafts", 0)).await);
     let racers = ["a0", "b1", "c2", "b0", "c0"].map(|id| {
         let body = json!({"id": format!("race {id}"), "author": "", "base": base,
             "command": group("drafts", 0)});
@@ -59,31 +60,31 @@
     }
 }
 
-/// A resent change gets the first one's answer, after a leader change too.
+/// A resent change gets the outcome of the first one, also from a new leader.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn change_resent_after_leader_killed() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let first = accepted(&cluster.submit_change("b1", "once", &group("drafts", 0)).await);
-    accepted(&cluster.submit_change("b1", "twice", &group("drafts", 1)).await);
+    let first = accepted_revision(&cluster.submit_change("b1", "once", &group("drafts", 0)).await);
+    accepted_revision(&cluster.submit_change("b1", "twice", &group("drafts", 1)).await);
     let leader =
         cluster.read_operator_api("b1", "/status").await["leader"].as_str().map(str::to_owned);
-    cluster.kill(&leader.expect("there is a leader"));
-    let again = accepted(&cluster.submit_change("b2", "once", &group("drafts", 0)).await);
-    assert_eq!(first, again, "the resent change was taken for a new one");
+    cluster.kill(&leader.expect("the cluster has a leader"));
+    let again = accepted_revision(&cluster.submit_change("b2", "once", &group("drafts", 0)).await);
+    assert_eq!(first, again, "the resent change was accepted as a new one");
 }
 
-/// Nothing accepted is lost or reverted when all daemons are killed, and the disks are enough.
+/// Accepted changes survive a kill of all daemons and are restored from the disks.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn restart_everything() {
+async fn restart_all_daemons() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     let mut last = 0;
     for number in 0..20 {
         let reply = cluster.submit_change("a1", &format!("c{number}"), &group("drafts", 0)).await;
-        last = accepted(&reply);
+        last = accepted_revision(&reply);
     }
     for id in cluster.ids() {
         cluster.kill(&id);
@@ -97,25 +98,29 @@
     }
 }
 
-/// A silently cut-off leader accepts nothing, knows that it is stale, and never reverts others.
+/// A leader behind a network partition accepts no change and reports that its state is stale. No
+/// daemon returns to an older revision when the partition heals.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_off_leader() {
+async fn partitioned_leader() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let first = accepted(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
+    let first =
+        accepted_revision(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
     for id in cluster.ids() {
         assert!(wait_revision(&cluster, &id, "drafts", first).await);
     }
     let leader =
         cluster.read_operator_api("a1", "/status").await["leader"].as_str().map(str::to_owned);
-    let leader = leader.expect("there is a leader");
-    let other = cluster.ids().into_iter().find(|id| *id != leader).expect("there are nine");
+    let leader = leader.expect("the cluster has a leader");
+    let other =
+        cluster.ids().into_iter().find(|id| *id != leader).expect("the cluster has nine daemons");
     cluster.set_daemon_links(&leader, FaultMode::Blackhole);
     let lost = json!({"id": "lost", "author": "", "command": group("drafts", 1)});
     let reply = cluster.call_operator_api(&leader, Method::POST, "/changes", &lost).await;
     assert_ne!(reply.status, 200, "a leader without a majority accepted a change");
-    let after = accepted(&cluster.submit_change(&other, "after", &group("drafts", 0)).await);
+    let after =
+        accepted_revision(&cluster.submit_change(&other, "after", &group("drafts", 0)).await);
     let status = cluster.read_operator_api(&leader, "/status").await;
     assert!(status["confirmed_ms"].as_u64() > Some(1500), "{status}");
     cluster.set_daemon_links(&leader, FaultMode::Pass);
@@ -123,30 +128,35 @@
         let mut seen = 0;
         for _ in 0..400 {
             let now = revision(&cluster, &id, "drafts").await.unwrap_or(0);
-            assert!(now >= seen, "{id} went back from {seen} to {now}");
+            assert!(now >= seen, "{id} went from revision {seen} back to {now}");
             seen = now;
             if seen >= after {
                 break;
             }
             pause(50).await;
         }
-        assert!(seen >= after, "{id} stays at {seen}, not {after}");
+        assert!(seen >= after, "{id} is at revision {seen}, expected {after}");
     }
 }
 
-/// A voter whose disk was lost says so, does not vote, and is made whole by its replacement.
+/// A voter that lost its disk reports the fault and does not vote. To replace it by itself clears
+/// the fault.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_disk() {
+async fn replace_voter_with_lost_disk() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
-    let before = accepted(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
+    let before =
+        accepted_revision(&cluster.submit_change("a1", "before", &group("drafts", 0)).await);
     cluster.kill("c0");
     let data = cluster.data_folder("c0").expect("c0 has a disk").to_owned();
-    std::fs::remove_dir_all(&data).expect("the disk can be wiped");
+    std::fs::remove_dir_all(&data).expect("the data folder can be removed");
     cluster.restart("c0");
     cluster.wait_ready().await;
-    assert!(wait_revision(&cluster, "c0", "drafts", before).await, "it follows all the same");
+    assert!(
+        wait_revision(&cluster, "c0", "drafts", before).await,
+        "the voter must still follow the leader"
+    );
     let status = cluster.read_operator_api("c0", "/status").await;
     assert!(status["fault"].as_str().is_some_and(|f| f.contains("replace this voter")), "{status}");
     let change = json!({"remove": "c0", "add": "c0"});
@@ -169,10 +179,10 @@
     }
     assert!(fault.is_null(), "{fault}");
     cluster.kill("a0");
-    accepted(&cluster.submit_change("b1", "after", &group("drafts", 0)).await);
+    accepted_revision(&cluster.submit_change("b1", "after", &group("drafts", 0)).await);
 }
 
-/// A change of voters that names nobody is refused with the field that does.
+/// A change of voters with an unknown daemon is refused, and the fault has the field's name.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn change_unknown_voter() {
@@ -185,7 +195,7 @@
     assert_eq!((reply.status, &fault["faults"][0]["field"]), (422, &json!("remove")), "{fault}");
 }
 
-/// Damaged, repeated and cut-short bytes between daemons do no harm.
+/// Corrupted, duplicated, truncated and reordered bytes between daemons lose no accepted change.
 #[rstest]
 #[case::damage(FaultMode::Corrupt)]
 #[case::repeat(FaultMode::Duplicate)]
@@ -199,7 +209,7 @@
     let mut last = 0;
     for number in 0..10 {
         let reply = cluster.submit_change("b2", &format!("c{number}"), &group("drafts", 0)).await;
-        last = accepted(&reply);
+        last = accepted_revision(&reply);
     }
     cluster.set_all_links(FaultMode::Pass);
     for id in cluster.ids() {
--- a/tests/all/crashing_request.rs
+++ b/tests/all/crashing_request.rs
@@ -1,7 +1,7 @@
-//! A request that ends the nodes it runs on, sent to one daemon after the other.
+//! Requests that crash the nodes on which they run.
 //!
-//! Each daemon took it for a new request and sent it to as many replicas as it has attempts, so
-//! that it ended replica after replica for as long as its caller sent it again.
+//! Guards against daemons that each treat such a request as new and send it to as many replicas as
+//! it has attempts: it would crash one replica after the other for as long as its caller retries.
 
 use std::time::Duration;
 
@@ -9,75 +9,89 @@
 use rstest::rstest;
 
 use crate::requests::stream;
-use crate::support::{nine_daemons, nine_daemons_before, pause, serving_cluster, zones};
+use crate::support::{nine_daemons, nine_daemons_with_fleet, pause, serving_cluster, zones};
 
-/// Nodes that may end under a request before it is known to end them.
-const MOST_ENDED: usize = 3;
-/// Time in which daemons tell each other what they have seen.
-const SPREAD_MS: u64 = 1500;
+/// Number of crashed nodes after which a request is quarantined.
+const MAX_CRASHED: usize = 3;
+/// Time within which daemons publish the crashes that they observed, in milliseconds.
+const PUBLISH_WAIT_MS: u64 = 1500;
 
-fn ended_nodes(cluster: &Cluster) -> usize {
+fn crashed_nodes(cluster: &Cluster) -> usize {
     cluster.fleet().model_nodes().len() - cluster.fleet().running_models().len()
 }
 
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_request_held_everywhere() {
+async fn crashing_request_quarantined_everywhere() {
     let cluster = serving_cluster(nine_daemons(), 6).await;
-    // It comes at daemons of two zones until three nodes have ended under it.
+    // Daemons of two zones get the request until it has crashed three nodes.
     for id in ["a0", "b0", "a1", "b1"] {
-        if ended_nodes(&cluster) < MOST_ENDED {
+        if crashed_nodes(&cluster) < MAX_CRASHED {
             stream(cluster.caller_address(id), CRASHING_PROMPT, 20).await;
         }
     }
-    pause(SPREAD_MS).await;
-    let ended = ended_nodes(&cluster);
-    assert_eq!(ended, MOST_ENDED);
+    pause(PUBLISH_WAIT_MS).await;
+    let crashed = crashed_nodes(&cluster);
+    assert_eq!(crashed, MAX_CRASHED);
     for id in cluster.ids() {
         let reply = stream(cluster.caller_address(&id), CRASHING_PROMPT, 20).await;
         assert_eq!((reply.status, reply.code().as_str()), (503, "ends_upstreams"), "{id}");
         assert_eq!(reply.ran(), "not_run", "{id}");
-        assert_eq!(ended_nodes(&cluster), ended, "{id} sent it on");
+        assert_eq!(crashed_nodes(&cluster), crashed, "{id} sent the request to a node");
         let reply = stream(cluster.caller_address(&id), "another prompt", 20).await;
-        assert_eq!(reply.status, 200, "{id} serves others: {}", reply.body);
+        assert_eq!(reply.status, 200, "{id} must serve other requests: {}", reply.body);
     }
 }
 
-/// Copies of the request that come at once, to daemons of three zones.
-const COPIES: usize = 24;
-/// Daemons that get them.
-const DOORS: [&str; 3] = ["a0", "b0", "c0"];
+/// Number of duplicates that are sent at once, to daemons of three zones.
+const DUPLICATES: usize = 24;
+/// Daemons that receive the duplicates.
+const INGRESS_DAEMONS: [&str; 3] = ["a0", "b0", "c0"];
 
-/// Many copies came at once, and each was sent to another replica before the first had ended its
-/// own: all replicas ended under one burst. Now each daemon sends one copy, and hears of the others
-/// before it sends another one; a copy that is alone when its node ends is repeated at once.
+/// A burst of duplicates must not crash all replicas.
 ///
-/// Where the first copies were alone, 4 nodes ended, and 6 with copies 30 ms ahead of the others.
-/// Where none was, 5 did: two daemons had chosen the same node, so that after the first round two
-/// ends were known, which hold nothing, and each daemon sent one copy more.
+/// Guards against a daemon that sends each duplicate to another replica before the first one has
+/// crashed its node. A daemon sends one duplicate and learns of those of the other daemons before
+/// it sends the next. A request without duplicates at the time of the crash is retried at once.
+///
+/// If the first requests have no duplicates yet, up to 6 nodes crash: 4 in a burst, 6 if the first
+/// requests are 30 ms ahead of the others. If all have duplicates, up to 5 nodes crash: two daemons
+/// can choose the same node, so that the first round shows two crashes, which do not quarantine the
+/// request, and each daemon sends one more duplicate.
 #[rstest]
-#[case::together(Duration::from_millis(300), MOST_ENDED - 1 + DOORS.len())]
-#[case::apart(Duration::ZERO, 2 * DOORS.len())]
+#[case::together(Duration::from_millis(300), MAX_CRASHED - 1 + INGRESS_DAEMONS.len())]
+#[case::apart(Duration::ZERO, 2 * INGRESS_DAEMONS.len())]
 #[tokio::test(flavor = "multi_thread")]
-async fn crashing_burst_bounded_everywhere(#[case] ending: Duration, #[case] most: usize) {
+async fn crashing_burst_bounded_everywhere(
+    #[case] crash_delay: Duration,
+    #[case] max_crashed: usize,
+) {
     let fleet = FleetConfig::new(&zones(), 2, 4)
         .with_unfenced_nodes(true)
-        .with_model(ModelConfig { crash_delay: ending, ..ModelConfig::default() });
-    let cluster = serving_cluster(nine_daemons_before(fleet), 6).await;
+        .with_model(ModelConfig { crash_delay, ..ModelConfig::default() });
+    let cluster = serving_cluster(nine_daemons_with_fleet(fleet), 6).await;
     let burst = || {
-        let copies = (0..COPIES).map(|copy| {
-            stream(cluster.caller_address(DOORS[copy % DOORS.len()]), CRASHING_PROMPT, 20)
+        let duplicates = (0..DUPLICATES).map(|number| {
+            stream(
+                cluster.caller_address(INGRESS_DAEMONS[number % INGRESS_DAEMONS.len()]),
+                CRASHING_PROMPT,
+                20,
+            )
         });
-        futures_util::future::join_all(copies)
+        futures_util::future::join_all(duplicates)
     };
     burst().await;
-    let ended = ended_nodes(&cluster);
-    assert!(ended <= most, "{ended} nodes ended at once");
-    pause(SPREAD_MS).await;
+    let crashed = crashed_nodes(&cluster);
+    assert!(crashed <= max_crashed, "{crashed} nodes crashed in the first burst");
+    pause(PUBLISH_WAIT_MS).await;
     burst().await;
-    assert!(ended_nodes(&cluster) <= most + 1, "{} nodes ended", ended_nodes(&cluster));
-    for id in DOORS {
+    assert!(
+        crashed_nodes(&cluster) <= max_crashed + 1,
+        "{} nodes crashed in both bursts",
+        crashed_nodes(&cluster)
+    );
+    for id in INGRESS_DAEMONS {
         let reply = stream(cluster.caller_address(id), "another prompt", 20).await;
-        assert_eq!(reply.status, 200, "{id} serves others: {}", reply.body);
+        assert_eq!(reply.status, 200, "{id} must serve other requests: {}", reply.body);
     }
 }
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -1,4 +1,4 @@
-//! Groups under failure, with real processes.
+//! Groups of replicas under failures.
 
 use hollowbarrow_schema::{NodeId, PlatformState};
 use hollowbarrow_testkit::FaultMode;
@@ -7,7 +7,8 @@
 
 use crate::support::{nine_daemons, pause, serving_cluster, zones};
 
-/// Two nodes of a replica are lost, the second right after the repair; orders never cross.
+/// Two nodes of a replica are lost, the second one directly after the repair. No node accepts a
+/// stale order.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_second_loss() {
@@ -21,11 +22,12 @@
     assert_eq!(
         cluster.fleet().stale_orders_accepted(),
         0,
-        "a node that does not check took a stale order"
+        "a node that does not check epochs accepted a stale order"
     );
 }
 
-/// A killed leader, authority and voter: the rest goes on, and the daemon comes back whole.
+/// The other daemons repair a replica after a voter was killed, which can also be the leader and
+/// the authority of its zone. After its restart, the daemon reports all replicas as serving.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_without_voter() {
@@ -42,24 +44,24 @@
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
 }
 
-/// A zone that is cut off goes on serving and repairs its own group.
+/// A partitioned zone continues to serve and repairs its replica.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn repair_cut_off_zone() {
+async fn repair_partitioned_zone() {
     let cluster = serving_cluster(nine_daemons(), 3).await;
     let zone = zones().remove(2);
     cluster.set_zone_links(&zone, FaultMode::Blackhole);
     pause(1500).await;
-    let mut own = None;
+    let mut local_replica = None;
     for _ in 0..100 {
         let replicas = cluster.serving_replicas("c1", "drafts").await;
-        own = replicas.into_iter().find(|(zone, _)| zone == "c");
-        if own.is_some() {
+        local_replica = replicas.into_iter().find(|(zone, _)| zone == "c");
+        if local_replica.is_some() {
             break;
         }
         pause(50).await;
     }
-    let (_, members) = own.expect("zone c still serves");
+    let (_, members) = local_replica.expect("zone c continues to serve");
     cluster.fleet().kill(&NodeId::from(members[2].as_str()));
     pause(300).await;
     let mut repaired = false;
@@ -71,13 +73,13 @@
         }
         pause(100).await;
     }
-    assert!(repaired, "zone c did not repair its group: {}", cluster.log("c0"));
+    assert!(repaired, "zone c did not repair its replica: {}", cluster.log("c0"));
     cluster.set_zone_links(&zone, FaultMode::Pass);
     assert!(cluster.wait_serving("a0", "drafts", 3).await);
     assert_eq!(cluster.fleet().stale_orders_accepted(), 0);
 }
 
-/// A member that restarts as if nothing had happened does not slip back in.
+/// A member that restarts with its state is not accepted under the old epoch.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn return_unchanged_member() {
@@ -98,10 +100,13 @@
         }
         pause(50).await;
     }
-    assert_ne!(after, before, "the replica serves on under the epoch of the dead process");
+    assert_ne!(
+        after, before,
+        "the replica continues to serve under the epoch of the terminated process"
+    );
 }
 
-/// A node that the platform takes away is drained, and what is in flight ends whole.
+/// A node that the platform lists as leaving is drained, and requests in flight complete.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_leaving_node() {
@@ -127,7 +132,7 @@
     assert!(moved, "the leaving node was not replaced: {}", cluster.log("a0"));
 }
 
-/// A node that another system holds is left alone.
+/// A node with another owner gets no orders.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn form_beside_foreign_owner() {
@@ -141,13 +146,20 @@
     cluster.submit_change("a0", "put group", &crate::support::group("drafts", 6)).await;
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
     pause(1000).await;
-    assert_eq!(cluster.serving_count("a0", "drafts").await, 3, "a foreign node was taken");
+    assert_eq!(
+        cluster.serving_count("a0", "drafts").await,
+        3,
+        "a node with another owner was used"
+    );
     let nodes = cluster.fleet().node_states();
     let foreign = nodes.iter().filter(|(id, ..)| id.contains("-d0-"));
-    assert!(foreign.into_iter().all(|(_, epoch, _)| **epoch == 0), "a foreign node got an order");
+    assert!(
+        foreign.into_iter().all(|(_, epoch, _)| **epoch == 0),
+        "a node with another owner got an order"
+    );
 }
 
-/// Labels taken away drain the node and hand it back, empty.
+/// A node whose labels are removed is drained and released.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn release_unlabelled_node() {
@@ -159,10 +171,12 @@
     }
     let mut released = false;
     for _ in 0..300 {
-        let held = cluster.fleet().node_states();
-        let of = |name: &String| held.iter().find(|(id, ..)| **id == **name).map(|(.., s)| *s);
-        released =
-            members.iter().all(|member| of(member) == Some(hollowbarrow_schema::NodeState::Idle));
+        let states = cluster.fleet().node_states();
+        let state_of =
+            |name: &String| states.iter().find(|(id, ..)| **id == **name).map(|(.., s)| *s);
+        released = members
+            .iter()
+            .all(|member| state_of(member) == Some(hollowbarrow_schema::NodeState::Idle));
         if released {
             break;
         }
--- a/tests/all/door.rs
+++ b/tests/all/ingress.rs
@@ -1,4 +1,4 @@
-//! The callers' door against malformed, slow and hostile connections, byte by byte.
+//! The ingress listener under malformed, slow and hostile connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use crate::support::zones;
 
-/// One daemon with short limits.
+/// Starts one daemon with low limits and waits until it has a ready service.
 async fn one_daemon() -> Cluster {
     let zone = zones().remove(0);
     let fleet = FleetConfig::new(std::slice::from_ref(&zone), 1, 1);
@@ -32,12 +32,13 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    panic!("the daemon sees no service: {}", cluster.log("a0"));
+    panic!("the daemon reports no ready service: {}", cluster.log("a0"));
 }
 
-/// Sends bytes and reads until the other end closes or is silent for long.
+/// Sends bytes and reads until the connection is closed or nothing is received for 2 s.
 async fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("the door listens");
+    let mut stream =
+        TcpStream::connect(address).await.expect("the ingress listener accepts connections");
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
@@ -58,7 +59,8 @@
     )
 }
 
-/// Shapes by which requests are smuggled, and floods, are refused or cut; none reaches a service.
+/// Requests that could smuggle a second request, and requests above the limits, are refused or
+/// disconnected. None reaches a service.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn refuse_hostile_bytes() {
@@ -88,39 +90,40 @@
     ];
     for (name, bytes) in cases {
         let answer = exchange(address, bytes.as_bytes()).await;
-        assert!(!answer.contains(" 200 "), "{name} was let through: {answer}");
+        assert!(!answer.contains(" 200 "), "{name} was accepted: {answer}");
         let answers = answer.matches("HTTP/1.1 ").count();
         assert!(answers <= 1, "{name} got {answers} answers: {answer}");
     }
     assert!(cluster.fleet().history().to_vec().is_empty(), "a refused request ran");
-    // The same length twice is not ambiguous, so it may pass, but as one request only.
+    // Two equal lengths are not ambiguous. The request may be accepted, but only as one request.
     let twice = post("content-length: 2\r\ncontent-length: 2\r\nconnection: close\r\n", "{}");
     let answer = exchange(address, twice.as_bytes()).await;
     let ran = cluster.fleet().history().to_vec().len();
     assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "{answer}");
     assert!(ran <= 1, "{ran} executions of one request");
-    // The door still works.
+    // The listener still serves valid requests.
     let good =
         exchange(address, post("content-length: 2\r\nconnection: close\r\n", "{}").as_bytes())
             .await;
     assert!(good.contains(" 200 "), "{good}");
 }
 
-/// Callers that send their headers drop by drop, or nothing, are cut off and hold no place.
+/// Callers that do not complete their headers are disconnected and occupy no connection slots.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_slow_callers() {
+async fn disconnect_slow_callers() {
     let cluster = one_daemon().await;
     let address = cluster.caller_address("a0");
     let mut silent = Vec::new();
     for _ in 0..80 {
-        let mut stream = TcpStream::connect(address).await.expect("the door listens");
+        let mut stream =
+            TcpStream::connect(address).await.expect("the ingress listener accepts connections");
         let _ = stream.write_all(b"GET /ready HT").await;
         silent.push(stream);
     }
     let answer =
         exchange(address, b"GET /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await;
-    assert!(answer.contains(" 200 "), "slow callers hold all places: {answer}");
+    assert!(answer.contains(" 200 "), "slow callers occupy all connection slots: {answer}");
 }
 
 #[derive(Clone, Debug)]
@@ -162,11 +165,11 @@
     bytes
 }
 
-/// Generator: a good request, mutated. Oracle: at most one execution, only after a 200 or a cut
-/// connection, and the door goes on answering.
+/// Sends mutations of a valid request. Each request is executed at most once, is not executed if
+/// the answer says `not_run`, and the listener continues to answer.
 #[rstest]
-fn fuzz_door() {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
+fn fuzz_ingress() {
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime can be started");
     let cluster = runtime.block_on(one_daemon());
     let address = cluster.caller_address("a0");
     let good = |number: usize| {
@@ -182,7 +185,9 @@
         sent.set(sent.get() + 1);
         let bytes = mutate(good(sent.get()), &mutations);
         let answer = runtime.block_on(async {
-            let mut stream = TcpStream::connect(address).await.expect("the door listens");
+            let mut stream = TcpStream::connect(address)
+                .await
+                .expect("the ingress listener accepts connections");
             let _ = stream.write_all(&bytes).await;
             let mut answer = Vec::new();
             let reading = stream.read_to_end(&mut answer);
@@ -193,13 +198,16 @@
         let ran: u32 = counts.values().sum();
         prop_assert!(ran as usize <= sent.get(), "{ran} executions of {} requests", sent.get());
         prop_assert!(counts.values().all(|count| *count <= 1), "a request ran twice: {counts:?}");
-        let own = counts.get(&format!("case-{}-", sent.get())).copied().unwrap_or(0);
-        prop_assert!(!answer.contains("not_run") || own == 0, "told not_run, but it ran: {answer}");
+        let case_runs = counts.get(&format!("case-{}-", sent.get())).copied().unwrap_or(0);
+        prop_assert!(
+            !answer.contains("not_run") || case_runs == 0,
+            "the answer says not_run, but the request ran: {answer}"
+        );
         Ok(())
     });
     if let Err(error) = outcome {
         panic!("{error}");
     }
     let answer = runtime.block_on(exchange(address, &good(0)));
-    assert!(answer.contains(" 200 "), "the door stopped answering: {answer}");
+    assert!(answer.contains(" 200 "), "the listener stopped answering: {answer}");
 }
--- a/tests/all/limit.rs
+++ b/tests/all/limit.rs
@@ -1,6 +1,7 @@
-//! Nodes that name the requests a second that they take from all daemons together.
+//! Nodes that report a limit of requests per second for all daemons together.
 //!
-//! Entry daemons read backoffs only, and the node with the least to do is chosen first.
+//! Guards against entry daemons that evaluate only backoffs. The least loaded node is chosen first,
+//! so that a node can get more requests than its limit.
 
 use std::time::Duration;
 
@@ -13,19 +14,19 @@
 use crate::requests::stream;
 use crate::support::{nine_daemons, serving_cluster};
 
-/// What nodes name, as it stands in their answers and as a number.
+/// Limit of the nodes, as in their responses and as a number.
 const LIMIT: &str = "2";
 const LIMIT_PER_S: f64 = 2.0;
-/// Time for which requests come.
+/// Time for which callers send requests.
 const LOAD_TIME: Duration = Duration::from_secs(9);
-/// Time after which the limit has to be kept.
-const TOLD_TIME: Duration = Duration::from_secs(1);
-/// Length of the window in which requests are counted.
+/// Time within which the limit must have reached all daemons.
+const PUBLISH_TIME: Duration = Duration::from_secs(1);
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Pause of each caller between two requests.
-const CALL_PAUSE: Duration = Duration::from_millis(100);
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which nodes name limits.
+/// Kind of nodes that report limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
     Plain,
@@ -43,7 +44,7 @@
     }
 }
 
-/// One caller at each daemon, which asks for a while; how many were served.
+/// Sends requests from one caller at each daemon for a time; returns how many were served.
 async fn call_for(cluster: &Cluster, kind: Kind, time: Duration) -> usize {
     let end = Instant::now() + time;
     let ids = cluster.ids();
@@ -55,15 +56,15 @@
             }
             let reply = call(cluster, kind, daemon, &format!("{daemon} {number}")).await;
             served += usize::from(reply.status == 200);
-            tokio::time::sleep(CALL_PAUSE).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
         served
     });
     futures_util::future::join_all(callers).await.into_iter().sum()
 }
 
-/// Most requests that came to a node in a window.
-fn most_in_window(cluster: &Cluster, node: &NodeId, from: Instant) -> usize {
+/// Returns the maximum number of requests that reached a node within a window.
+fn max_in_window(cluster: &Cluster, node: &NodeId, from: Instant) -> usize {
     let arrivals = cluster.fleet().arrivals(node);
     let counted: Vec<Instant> = arrivals.into_iter().filter(|at| *at >= from).collect();
     let count = |end: &Instant| {
@@ -88,10 +89,13 @@
     nodes.iter().for_each(|node| cluster.fleet().set_limit(node, Some(LIMIT)));
     let start = Instant::now();
     let served = call_for(&cluster, kind, LOAD_TIME).await;
-    assert!(served > 0, "nothing is served");
+    assert!(served > 0, "no request was served");
     let allowed = (LIMIT_PER_S * WINDOW.as_secs_f64() * 1.5 + 5.0).round() as usize;
     for node in &nodes {
-        let most = most_in_window(&cluster, node, start + TOLD_TIME);
-        assert!(most <= allowed, "{node:?} got {most} requests in 4 s; {allowed} allowed");
+        let max_requests = max_in_window(&cluster, node, start + PUBLISH_TIME);
+        assert!(
+            max_requests <= allowed,
+            "{node:?} got {max_requests} requests in 4 s; {allowed} allowed"
+        );
     }
 }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,11 +1,11 @@
-//! Integration tests by theme; they drive the real binary.
+//! Integration tests that run the `hollowbarrow` binary.
 
 mod backoff;
 mod command_line;
 mod configuration;
 mod crashing_request;
-mod door;
 mod groups;
+mod ingress;
 mod limit;
 mod reference;
 mod requests;
--- a/tests/all/reference.rs
+++ b/tests/all/reference.rs
@@ -1,6 +1,6 @@
-//! The tables of the reference are those of the code.
+//! Compares the reference pages with the code from which they are generated.
 //!
-//! Run with `HOLLOWBARROW_WRITE_REFERENCE=1` to write them again.
+//! `HOLLOWBARROW_WRITE_REFERENCE=1` writes the pages before the comparison.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -16,7 +16,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Compares a page with what the code says, or writes it.
+/// Compares a committed page with the generated one, after writing it if requested.
 fn check_page(name: &str, rendered: &str) {
     let path = root().join("docs/reference").join(name);
     if std::env::var_os("HOLLOWBARROW_WRITE_REFERENCE").is_some() {
@@ -65,10 +65,10 @@
         "SelectorExpression",
     ] {
         let definition = &schema["definitions"][name];
-        let about = definition["description"].as_str().unwrap_or_default();
+        let description = definition["description"].as_str().unwrap_or_default();
         let _ = write!(
             page,
-            "\n## {name}\n\n{about}\n\n| field | type | default | meaning |\n|---|---|---|---|\n"
+            "\n## {name}\n\n{description}\n\n| field | type | default | meaning |\n|---|---|---|---|\n"
         );
         for (field, rule) in definition["properties"].as_object().into_iter().flatten() {
             let default = rule.get("default").map(|value| format!("`{value}`")).unwrap_or_default();
@@ -111,7 +111,7 @@
 
 fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("the sources are readable") {
-        let path = entry.expect("readable").path();
+        let path = entry.expect("the sources are readable").path();
         if path.is_dir() {
             rust_files(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -120,11 +120,11 @@
     }
 }
 
-/// Fields of a log line, as written in its format.
-fn fields_of(line: &str) -> (String, Vec<String>) {
-    let mut words = line.split([' ', '"']).filter_map(|word| word.split_once('='));
-    let event = words.next().map(|(_, name)| name.to_owned()).unwrap_or_default();
-    (event, words.map(|(key, _)| key.to_owned()).collect())
+/// Returns the event and the other keys of the format string of a log line.
+fn parse_fields(line: &str) -> (String, Vec<String>) {
+    let mut pairs = line.split([' ', '"']).filter_map(|pair| pair.split_once('='));
+    let event = pairs.next().map(|(_, name)| name.to_owned()).unwrap_or_default();
+    (event, pairs.map(|(key, _)| key.to_owned()).collect())
 }
 
 #[rstest]
@@ -137,11 +137,12 @@
     }
     let mut events: BTreeMap<String, Vec<String>> = BTreeMap::new();
     for file in files {
-        let text = std::fs::read_to_string(file).expect("readable").replace("\\\n", "");
-        for piece in text.split("\"event=").skip(1) {
-            let line = format!("event={}", piece.split('"').next().unwrap_or_default());
-            let (event, fields) = fields_of(&line);
-            // Several daemons log some events, with other fields.
+        let text =
+            std::fs::read_to_string(file).expect("the sources are readable").replace("\\\n", "");
+        for fragment in text.split("\"event=").skip(1) {
+            let line = format!("event={}", fragment.split('"').next().unwrap_or_default());
+            let (event, fields) = parse_fields(&line);
+            // Some events are logged in several places with different fields.
             let known = events.entry(event).or_default();
             known.extend(
                 fields.into_iter().filter(|field| !known.contains(field)).collect::<Vec<_>>(),
--- a/tests/all/requests.rs
+++ b/tests/all/requests.rs
@@ -1,4 +1,4 @@
-//! Requests under failure, with real processes.
+//! Requests under failures.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,9 +12,9 @@
 use rstest::rstest;
 use serde_json::json;
 
-use crate::support::{nine_daemons, nine_daemons_before, pause, serving_cluster, zones};
+use crate::support::{nine_daemons, nine_daemons_with_fleet, pause, serving_cluster, zones};
 
-/// Streams an answer of some tokens.
+/// Requests a streamed response with a number of tokens.
 pub async fn stream(address: SocketAddr, prompt: &str, tokens: u32) -> CallReply {
     let messages = json!([{"role": "user", "content": prompt}]);
     let body = json!({"model": "m", "stream": true, "max_tokens": tokens, "messages": messages});
@@ -25,7 +25,7 @@
         .await
 }
 
-fn is_own_whole_answer(reply: &CallReply, prompt: &str, count: u32) -> bool {
+fn is_expected_answer(reply: &CallReply, prompt: &str, count: u32) -> bool {
     let messages = json!([{"role": "user", "content": prompt}]).to_string();
     let (tokens, done) = reply.tokens();
     let expected: Vec<String> = (0..count).map(|n| expected_token(&messages, n)).collect();
@@ -41,7 +41,7 @@
         .await
 }
 
-/// Four hundred streams at once through one daemon, each with its own answer, token by token.
+/// 400 concurrent streams through one daemon get the response to their prompt, token by token.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_400_at_once() {
@@ -52,19 +52,28 @@
             tokio::spawn(async move {
                 let prompt = format!("prompt {number}");
                 let reply = stream(address, &prompt, 200).await;
-                (is_own_whole_answer(&reply, &prompt, 200), reply)
+                (is_expected_answer(&reply, &prompt, 200), reply)
             })
         })
         .collect();
     for task in streams {
-        let (own, reply) = task.await.expect("the stream's task ends");
-        assert!(own, "status {} {:?}", reply.status, &reply.body[..reply.body.len().min(300)]);
-        assert!(reply.chunk_times.len() > 50, "tokens came in {} pieces", reply.chunk_times.len());
+        let (is_expected, reply) = task.await.expect("the stream's task ends");
+        assert!(
+            is_expected,
+            "status {} {:?}",
+            reply.status,
+            &reply.body[..reply.body.len().min(300)]
+        );
+        assert!(
+            reply.chunk_times.len() > 50,
+            "tokens were received in {} chunks",
+            reply.chunk_times.len()
+        );
     }
 }
 
-/// A member is killed mid-stream; the caller sees one unbroken answer, also where a daemon that has
-/// just started loses more streams at once than its budget of retries has saved up.
+/// A member is killed while it streams, and callers get complete responses. This also holds on a
+/// daemon that has just started and loses more streams at once than its retry budget covers.
 #[rstest]
 #[case::few(12)]
 #[case::many(60)]
@@ -77,44 +86,47 @@
             tokio::spawn(async move {
                 let prompt = format!("prompt {number}");
                 let reply = stream(address, &prompt, 300).await;
-                (is_own_whole_answer(&reply, &prompt, 300), reply)
+                (is_expected_answer(&reply, &prompt, 300), reply)
             })
         })
         .collect();
     pause(500).await;
     let replicas = cluster.serving_replicas("a1", "drafts").await;
-    let own = replicas.iter().find(|(zone, _)| zone == "a").expect("zone a serves");
-    cluster.fleet().kill(&NodeId::from(own.1[1].as_str()));
+    let local_replica =
+        replicas.iter().find(|(zone, _)| zone == "a").expect("zone a has a serving replica");
+    cluster.fleet().kill(&NodeId::from(local_replica.1[1].as_str()));
     for task in streams {
-        let (own, reply) = task.await.expect("the stream's task ends");
+        let (is_expected, reply) = task.await.expect("the stream's task ends");
         let tail = reply.body.len().saturating_sub(300);
-        assert!(own, "status {} ... {}", reply.status, &reply.body[tail..]);
+        assert!(is_expected, "status {} ... {}", reply.status, &reply.body[tail..]);
     }
 }
 
-/// What callers were told about holds, by key.
-type Told = BTreeMap<String, Vec<CallReply>>;
+/// Replies to holds by idempotency key.
+type HoldReplies = BTreeMap<String, Vec<CallReply>>;
 
-/// A hold on its way: its key and what its caller was told.
+/// Task that sends a hold and returns its key and the replies.
 type HoldTask = tokio::task::JoinHandle<(String, Vec<CallReply>)>;
 
-/// Sends holds and waits for them.
-async fn send_holds(cluster: &Cluster, from: u32, count: u32, told: &mut Told) {
-    finish_holds(start_holds(cluster, from, count), told).await;
+/// Sends holds, waits for them and adds their replies.
+async fn send_holds(cluster: &Cluster, from: u32, count: u32, hold_replies: &mut HoldReplies) {
+    finish_holds(start_holds(cluster, from, count), hold_replies).await;
 }
 
-/// Sends holds, resending each through another daemon until the answer is final.
+/// Starts tasks that send a hold each. A hold is resent through another daemon until it is
+/// confirmed, up to 6 times in all.
 fn start_holds(cluster: &Cluster, from: u32, count: u32) -> Vec<HoldTask> {
     let ids: Vec<String> = cluster.ids().into_iter().filter(|id| cluster.is_running(id)).collect();
     (from..from + count)
         .map(|number| {
-            let doors: Vec<SocketAddr> = ids.iter().map(|id| cluster.caller_address(id)).collect();
+            let addresses: Vec<SocketAddr> =
+                ids.iter().map(|id| cluster.caller_address(id)).collect();
             tokio::spawn(async move {
                 let key = format!("hold-{number}");
                 let mut replies = Vec::new();
                 for attempt in 0..6 {
-                    let door = doors[(number as usize * 7 + attempt * 4) % doors.len()];
-                    let reply = hold(door, &key).await;
+                    let address = addresses[(number as usize * 7 + attempt * 4) % addresses.len()];
+                    let reply = hold(address, &key).await;
                     let done = reply.status == 200 && reply.complete;
                     replies.push(reply);
                     if done {
@@ -128,18 +140,18 @@
         .collect()
 }
 
-async fn finish_holds(tasks: Vec<HoldTask>, told: &mut Told) {
+async fn finish_holds(tasks: Vec<HoldTask>, hold_replies: &mut HoldReplies) {
     for task in tasks {
         let (key, replies) = task.await.expect("the hold's task ends");
-        told.entry(key).or_default().extend(replies);
+        hold_replies.entry(key).or_default().extend(replies);
     }
 }
 
-/// Holds each reply against what ran.
-fn check_holds(cluster: &Cluster, told: &Told) -> usize {
+/// Compares the replies with the executions and returns the number of confirmed holds.
+fn check_holds(cluster: &Cluster, hold_replies: &HoldReplies) -> usize {
     let counts = cluster.fleet().history().counts();
     let mut confirmed = 0;
-    for (key, replies) in told {
+    for (key, replies) in hold_replies {
         let runs = counts.get(key).copied().unwrap_or(0);
         assert!(runs <= 1, "{key} ran {runs} times: {replies:?}");
         let answers: Vec<&CallReply> = replies.iter().filter(|reply| reply.status == 200).collect();
@@ -157,50 +169,50 @@
     confirmed
 }
 
-/// Holds while a daemon is killed, one is paused and a zone is cut off.
+/// Holds run at most once while a daemon is killed, one is paused and a zone is partitioned.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_under_faults() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     pause(2000).await;
-    let mut told = Told::new();
-    send_holds(&cluster, 0, 40, &mut told).await;
-    assert_eq!(check_holds(&cluster, &told), 40, "without faults all are confirmed");
+    let mut hold_replies = HoldReplies::new();
+    send_holds(&cluster, 0, 40, &mut hold_replies).await;
+    assert_eq!(check_holds(&cluster, &hold_replies), 40, "without faults all holds are confirmed");
     cluster.kill("b1");
-    send_holds(&cluster, 100, 40, &mut told).await;
+    send_holds(&cluster, 100, 40, &mut hold_replies).await;
     cluster.pause("a2");
-    send_holds(&cluster, 200, 20, &mut told).await;
+    send_holds(&cluster, 200, 20, &mut hold_replies).await;
     cluster.resume("a2");
     let zone = zones().remove(2);
     cluster.set_zone_links(&zone, FaultMode::Blackhole);
-    send_holds(&cluster, 300, 40, &mut told).await;
+    send_holds(&cluster, 300, 40, &mut hold_replies).await;
     cluster.set_zone_links(&zone, FaultMode::Pass);
     cluster.restart("b1");
     cluster.wait_ready().await;
     pause(2000).await;
-    send_holds(&cluster, 400, 40, &mut told).await;
-    let confirmed = check_holds(&cluster, &told);
+    send_holds(&cluster, 400, 40, &mut hold_replies).await;
+    let confirmed = check_holds(&cluster, &hold_replies);
     assert!(confirmed >= 150, "only {confirmed} of 180 holds were confirmed");
 }
 
-/// Looks at whether a hold runs, before the test fails.
-const MOST_LOOKS: usize = 1000;
+/// Maximum number of polls until a hold has started to run.
+const MAX_POLLS: usize = 1000;
 
-/// A daemon is killed while holds that it sent are running, so that their answers are lost; their
-/// callers ask again elsewhere, and nothing runs twice.
+/// A daemon is killed while holds that it sent are running, so that their answers are lost. The
+/// callers resend them through other daemons, and no hold runs twice.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_answer_lost() {
     let slow = FleetConfig::new(&zones(), 1, 1).with_service_delay(Duration::from_millis(400));
-    let mut cluster = Cluster::start(nine_daemons_before(slow));
+    let mut cluster = Cluster::start(nine_daemons_with_fleet(slow));
     cluster.wait_ready().await;
     pause(2000).await;
-    let mut told = Told::new();
+    let mut hold_replies = HoldReplies::new();
     let running = start_holds(&cluster, 0, 60);
     pause(250).await;
-    // On a busy machine it takes longer until the first one runs; each then takes 400 ms.
-    for _ in 0..MOST_LOOKS {
+    // On a busy machine, the first hold starts later. Each hold runs for 400 ms.
+    for _ in 0..MAX_POLLS {
         if !cluster.fleet().history().counts().is_empty() {
             break;
         }
@@ -208,34 +220,35 @@
     }
     let ran = cluster.fleet().history().counts().len();
     cluster.kill("b1");
-    finish_holds(running, &mut told).await;
-    check_holds(&cluster, &told);
+    finish_holds(running, &mut hold_replies).await;
+    check_holds(&cluster, &hold_replies);
     assert!(ran > 0, "no hold was running when its daemon was killed");
 }
 
-/// The claims' leader is killed while holds run.
+/// The leader of the claims log is killed between two batches of holds.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_leader_killed() {
     let mut cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     pause(2000).await;
-    let mut told = Told::new();
-    send_holds(&cluster, 0, 10, &mut told).await;
+    let mut hold_replies = HoldReplies::new();
+    send_holds(&cluster, 0, 10, &mut hold_replies).await;
     let leader = cluster.read_operator_api("a0", "/status").await["claims_leader"]
         .as_str()
         .map(str::to_owned);
-    let leader = leader.expect("the claims have a leader");
+    let leader = leader.expect("the claims log has a leader");
     cluster.kill(&leader);
-    send_holds(&cluster, 100, 40, &mut told).await;
+    send_holds(&cluster, 100, 40, &mut hold_replies).await;
     cluster.restart(&leader);
     cluster.wait_ready().await;
-    send_holds(&cluster, 200, 20, &mut told).await;
-    let confirmed = check_holds(&cluster, &told);
+    send_holds(&cluster, 200, 20, &mut hold_replies).await;
+    let confirmed = check_holds(&cluster, &hold_replies);
     assert!(confirmed >= 60, "only {confirmed} of 70 holds were confirmed");
 }
 
-/// A resent hold through another daemon gets the first one's answer, and another body is refused.
+/// A hold that is resent through another daemon gets the stored answer. Another request with the
+/// same key is refused.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_resent_elsewhere() {
@@ -256,31 +269,33 @@
     assert_eq!(cluster.fleet().history().counts().get("family"), Some(&1));
 }
 
-/// A daemon told to stop turns its readiness off, ends its streams and exits 0.
+/// A daemon that gets `SIGTERM` completes its streams and exits with code 0, and the other daemons
+/// continue to accept changes.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn stop_planned() {
+async fn stop_gracefully() {
     let mut cluster = serving_cluster(nine_daemons(), 3).await;
     let address = cluster.caller_address("a0");
     let streaming = tokio::spawn(async move { stream(address, "long", 400).await });
     pause(300).await;
     let code = cluster.stop("a0").await;
     let reply = streaming.await.expect("the stream's task ends");
-    assert!(is_own_whole_answer(&reply, "long", 400), "{}", reply.body.len());
+    assert!(is_expected_answer(&reply, "long", 400), "{}", reply.body.len());
     assert_eq!(code, Some(0));
     let again = cluster.submit_change("b0", "after", &crate::support::group("drafts", 3)).await;
     assert_eq!(again.status, 200, "{}", again.body);
 }
 
-/// Wrong keys, paths, models and bodies are refused, each with its code, and have not run.
+/// Requests with invalid keys, paths, models, bodies or headers are refused with their error code
+/// and do not run.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn refuse_bad_requests() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     let address = cluster.caller_address("a0");
-    // Until it has heard a leader, it cannot know that a model does not exist.
-    assert_eq!(ask_until(address, 404).await, 404, "{}", cluster.log("a0"));
+    // Before a daemon has received state from a leader, it cannot know that a model does not exist.
+    assert_eq!(request_until(address, 404).await, 404, "{}", cluster.log("a0"));
     let post = |path: &str, key: &str| CallerCall::new(Method::POST, path, key);
     let chat = "/v1/chat/completions";
     let cases = [
@@ -312,14 +327,14 @@
     assert!(cluster.fleet().history().to_vec().is_empty(), "a refused request ran");
 }
 
-/// Asks a daemon for a model until it answers with a status; the last status.
-async fn ask_until(address: SocketAddr, wanted: u16) -> u16 {
+/// Requests a model from a daemon until it answers with a status, and returns the last status.
+async fn request_until(address: SocketAddr, expected_status: u16) -> u16 {
     let mut status = 0;
     for _ in 0..200 {
         let call = CallerCall::new(Method::POST, "/v1/chat/completions", CALLER_KEY);
         let reply = call.with_body("{\"model\":\"m\",\"prompt\":\"p\"}").send(address).await;
         status = reply.status;
-        if status == wanted {
+        if status == expected_status {
             break;
         }
         pause(50).await;
@@ -327,17 +342,25 @@
     status
 }
 
-/// A daemon that was cut off from the others refused a model with 404 for as long as the cut lasted,
-/// although a group for it had been accepted: it took its own log for the newest.
+/// A partitioned daemon refuses an unknown model with 503, since a group for it can have been
+/// accepted.
+///
+/// Guards against a daemon that treats its local log as current and answers 404 for as long as the
+/// partition lasts.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn unknown_model_at_cut_daemon() {
+async fn unknown_model_at_partitioned_daemon() {
     let cluster = Cluster::start(nine_daemons());
     cluster.wait_ready().await;
     let address = cluster.caller_address("a2");
-    assert_eq!(ask_until(address, 404).await, 404, "no group is for the model");
+    assert_eq!(request_until(address, 404).await, 404, "the model has no group");
     cluster.set_daemon_links("a2", FaultMode::Blackhole);
     let reply = cluster.submit_change("b0", "put group", &crate::support::group("drafts", 1)).await;
     assert_eq!(reply.status, 200, "{}", reply.body);
-    assert_eq!(ask_until(address, 503).await, 503, "the daemon cannot know: {}", cluster.log("a2"));
+    assert_eq!(
+        request_until(address, 503).await,
+        503,
+        "a partitioned daemon must not answer 404: {}",
+        cluster.log("a2")
+    );
 }
--- a/tests/all/support.rs
+++ b/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Clusters of the real binary.
+//! Builds and starts clusters of the `hollowbarrow` binary.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 use hollowbarrow_testkit::{Cluster, ClusterConfig, FleetConfig};
 use serde_json::{Value, json};
 
-/// A group of three nodes a replica.
+/// Returns a change that puts a group whose replicas have three nodes each.
 pub fn group(name: &str, count: u32) -> Value {
     json!({"put_group": {"name": name, "model": "m", "version": "1", "size": 3, "count": count,
         "selector": {"match_labels": {"given": "hollowbarrow"}}}})
 }
 
-/// The three zones that most tests use.
+/// Returns the three zones that most tests use.
 pub fn zones() -> Vec<ZoneId> {
     ["a", "b", "c"].map(ZoneId::from).to_vec()
 }
 
-/// Nine daemons in three zones before two fabric domains of four nodes in each.
+/// Configures nine daemons in three zones, with two fabric domains of four nodes in each zone.
 pub fn nine_daemons() -> ClusterConfig {
-    nine_daemons_before(FleetConfig::new(&zones(), 2, 4).with_unfenced_nodes(true))
+    nine_daemons_with_fleet(FleetConfig::new(&zones(), 2, 4).with_unfenced_nodes(true))
 }
 
-/// Nine daemons in three zones before given stand-ins.
-pub fn nine_daemons_before(fleet: FleetConfig) -> ClusterConfig {
+/// Configures nine daemons in three zones, with a given fleet of stand-ins.
+pub fn nine_daemons_with_fleet(fleet: FleetConfig) -> ClusterConfig {
     let zones = zones();
     let counts: Vec<(ZoneId, u32)> = zones.into_iter().map(|zone| (zone, 3)).collect();
     let program = Path::new(env!("CARGO_BIN_EXE_hollowbarrow"));
     ClusterConfig::new(program, &["serve", "--settings"], &counts, fleet)
 }
 
-/// Starts nine daemons, gives them all nodes and waits until a group serves.
+/// Starts a cluster, labels all its nodes and waits until all replicas of a group serve.
 pub async fn serving_cluster(config: ClusterConfig, count: u32) -> Cluster {
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
@@ -41,14 +41,13 @@
     for id in cluster.ids() {
         assert!(
             cluster.wait_serving(&id, "drafts", u64::from(count)).await,
-            "{id} does not see the group serve: {}",
+            "{id} does not report the group as serving: {}",
             cluster.read_operator_api(&id, "/explain/drafts").await
         );
     }
     cluster
 }
 
-/// Waits a while.
 pub async fn pause(ms: u64) {
     tokio::time::sleep(Duration::from_millis(ms)).await;
 }
