--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -41,9 +41,9 @@
     cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 1,
         "count": 6, "selector": {"match_labels": {"given": "hollowbarrow"}}}});
-    cluster.change("a0", "group", &group).await;
+    cluster.submit_change("a0", "group", &group).await;
     ensure!(cluster.wait_serving("a0", "drafts", 6).await, "the group does not serve");
-    let door = cluster.callers("a0");
+    let door = cluster.caller_address("a0");
     let pid = cluster.pid("a0").context("a0 runs")?;
     let sizes: &'static [usize] = &[8, 40, 160, 400];
     let mut memory = Vec::new();
@@ -135,12 +135,12 @@
         json!({"put_group": {"name": "spread", "model": "m", "version": round.to_string(),
             "size": 1, "count": 0, "selector": {}}})
     };
-    cluster.change("a0", "first", &group(0)).await;
+    cluster.submit_change("a0", "first", &group(0)).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let (mut medians, mut worsts) = (Vec::new(), Vec::new());
     for round in 1..=RUNS {
         let begun = Instant::now();
-        let reply = cluster.change("b0", &format!("round {round}"), &group(round)).await;
+        let reply = cluster.submit_change("b0", &format!("round {round}"), &group(round)).await;
         ensure!(reply.status == 200, "a change was refused: {}", reply.body);
         let mut times = wait_everywhere(&cluster, round, begun).await?;
         times.sort_by(f64::total_cmp);
@@ -179,7 +179,7 @@
     while !waiting.is_empty() {
         ensure!(begun.elapsed() < Duration::from_secs(60), "{waiting:?} do not follow");
         for id in waiting.clone() {
-            let groups = cluster.read(&id, "/groups").await;
+            let groups = cluster.read_operator_api(&id, "/groups").await;
             if groups[0]["spec"]["version"] == version.as_str() {
                 times.push(begun.elapsed().as_secs_f64() * 1000.0);
                 waiting.remove(&id);
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -1,4 +1,4 @@
-//! Groups under failure, with real processes.
+//! Groups of replicas under failures.
 
 use hollowbarrow_schema::{NodeId, PlatformState};
 use hollowbarrow_testkit::FaultMode;
@@ -7,7 +7,8 @@
 
 use crate::support::{nine_daemons, pause, serving_cluster, zones};
 
-/// Two nodes of a replica are lost, the second right after the repair; orders never cross.
+/// Two nodes of a replica are lost, the second one directly after the repair. No node accepts a
+/// stale order.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_second_loss() {
@@ -21,11 +22,12 @@
     assert_eq!(
         cluster.fleet().stale_orders_accepted(),
         0,
-        "a node that does not check took a stale order"
+        "a node that does not check epochs accepted a stale order"
     );
 }
 
-/// A killed leader, authority and voter: the rest goes on, and the daemon comes back whole.
+/// The other daemons repair a replica after a voter was killed, which can also be the leader and
+/// the authority of its zone. After its restart, the daemon reports all replicas as serving.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn repair_without_voter() {
@@ -42,24 +44,24 @@
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
 }
 
-/// A zone that is cut off goes on serving and repairs its own group.
+/// A partitioned zone continues to serve and repairs its replica.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
-async fn repair_cut_off_zone() {
+async fn repair_partitioned_zone() {
     let cluster = serving_cluster(nine_daemons(), 3).await;
     let zone = zones().remove(2);
-    cluster.set_zone_links(&zone, FaultMode::Silence);
+    cluster.set_zone_links(&zone, FaultMode::Blackhole);
     pause(1500).await;
-    let mut own = None;
+    let mut local_replica = None;
     for _ in 0..100 {
         let replicas = cluster.serving_replicas("c1", "drafts").await;
-        own = replicas.into_iter().find(|(zone, _)| zone == "c");
-        if own.is_some() {
+        local_replica = replicas.into_iter().find(|(zone, _)| zone == "c");
+        if local_replica.is_some() {
             break;
         }
         pause(50).await;
     }
-    let (_, members) = own.expect("zone c still serves");
+    let (_, members) = local_replica.expect("zone c continues to serve");
     cluster.fleet().kill(&NodeId::from(members[2].as_str()));
     pause(300).await;
     let mut repaired = false;
@@ -71,41 +73,46 @@
         }
         pause(100).await;
     }
-    assert!(repaired, "zone c did not repair its group: {}", cluster.log("c0"));
+    assert!(repaired, "zone c did not repair its replica: {}", cluster.log("c0"));
     cluster.set_zone_links(&zone, FaultMode::Pass);
     assert!(cluster.wait_serving("a0", "drafts", 3).await);
     assert_eq!(cluster.fleet().stale_orders_accepted(), 0);
 }
 
-/// A member that restarts as if nothing had happened does not slip back in.
+/// A member that restarts with its state is not accepted under the old epoch.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn return_unchanged_member() {
     let cluster = serving_cluster(nine_daemons(), 1).await;
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
     let member = NodeId::from(members[1].as_str());
-    let before = cluster.read("a0", "/explain/drafts").await["replicas"][0]["epoch"].clone();
+    let before =
+        cluster.read_operator_api("a0", "/explain/drafts").await["replicas"][0]["epoch"].clone();
     cluster.fleet().kill(&member);
     cluster.fleet().restart_with_state(&member);
     let mut after = before.clone();
     for _ in 0..200 {
-        let replica = cluster.read("a0", "/explain/drafts").await["replicas"][0].clone();
+        let replica =
+            cluster.read_operator_api("a0", "/explain/drafts").await["replicas"][0].clone();
         if replica["state"] == "serving" && replica["epoch"] != before {
             after = replica["epoch"].clone();
             break;
         }
         pause(50).await;
     }
-    assert_ne!(after, before, "the replica serves on under the epoch of the dead process");
+    assert_ne!(
+        after, before,
+        "the replica continues to serve under the epoch of the terminated process"
+    );
 }
 
-/// A node that the platform takes away is drained, and what is in flight ends whole.
+/// A node that the platform lists as leaving is drained, and requests in flight complete.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_leaving_node() {
     let cluster = serving_cluster(nine_daemons(), 1).await;
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
-    let address = cluster.callers("b0");
+    let address = cluster.caller_address("b0");
     let streaming =
         tokio::spawn(async move { crate::requests::stream(address, "long", 400).await });
     pause(300).await;
@@ -125,7 +132,7 @@
     assert!(moved, "the leaving node was not replaced: {}", cluster.log("a0"));
 }
 
-/// A node that another system holds is left alone.
+/// A node with another owner gets no orders.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn form_beside_foreign_owner() {
@@ -133,19 +140,26 @@
     let cluster = hollowbarrow_testkit::Cluster::start(config);
     cluster.wait_ready().await;
     for node in cluster.fleet().model_nodes().iter().filter(|node| node.contains("-d0-")) {
-        cluster.fleet().seize(node, "other-half");
+        cluster.fleet().set_owner(node, "other-half");
     }
     cluster.label_all_nodes().await;
-    cluster.change("a0", "put group", &crate::support::group("drafts", 6)).await;
+    cluster.submit_change("a0", "put group", &crate::support::group("drafts", 6)).await;
     assert!(cluster.wait_serving("a0", "drafts", 3).await, "{}", cluster.log("a0"));
     pause(1000).await;
-    assert_eq!(cluster.serving("a0", "drafts").await, 3, "a foreign node was taken");
-    let nodes = cluster.fleet().held();
+    assert_eq!(
+        cluster.serving_count("a0", "drafts").await,
+        3,
+        "a node with another owner was used"
+    );
+    let nodes = cluster.fleet().node_states();
     let foreign = nodes.iter().filter(|(id, ..)| id.contains("-d0-"));
-    assert!(foreign.into_iter().all(|(_, epoch, _)| **epoch == 0), "a foreign node got an order");
+    assert!(
+        foreign.into_iter().all(|(_, epoch, _)| **epoch == 0),
+        "a node with another owner got an order"
+    );
 }
 
-/// Labels taken away drain the node and hand it back, empty.
+/// A node whose labels are removed is drained and released.
 #[rstest]
 #[tokio::test(flavor = "multi_thread")]
 async fn release_unlabelled_node() {
@@ -153,19 +167,21 @@
     let (_, members) = cluster.serving_replicas("a0", "drafts").await.remove(0);
     for member in &members {
         let command = json!({"change_labels": {"node": member, "remove": ["given"]}});
-        cluster.change("b1", &format!("take {member}"), &command).await;
+        cluster.submit_change("b1", &format!("take {member}"), &command).await;
     }
     let mut released = false;
     for _ in 0..300 {
-        let held = cluster.fleet().held();
-        let of = |name: &String| held.iter().find(|(id, ..)| **id == **name).map(|(.., s)| *s);
-        released =
-            members.iter().all(|member| of(member) == Some(hollowbarrow_schema::NodeState::Idle));
+        let states = cluster.fleet().node_states();
+        let state_of =
+            |name: &String| states.iter().find(|(id, ..)| **id == **name).map(|(.., s)| *s);
+        released = members
+            .iter()
+            .all(|member| state_of(member) == Some(hollowbarrow_schema::NodeState::Idle));
         if released {
             break;
         }
         pause(50).await;
     }
-    assert!(released, "the nodes were not released: {:?}", cluster.fleet().held());
+    assert!(released, "the nodes were not released: {:?}", cluster.fleet().node_states());
     assert!(cluster.wait_serving("a0", "drafts", 1).await);
 }
