--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -118,7 +118,7 @@
     load.abort();
     let history = cluster.fleet().history().to_vec();
     let incomplete = history.iter().filter(|run| run.missing_ms > LEASE_MS).count();
-    let overridden = cluster.fleet().stale_orders_accepted();
+    let stale_orders_accepted = cluster.fleet().stale_orders_accepted();
     let repair = sampled.repair_s.map_or("never".to_owned(), |repair| format!("{repair:.2}"));
     let served = history.len();
     Ok(format!(
@@ -127,7 +127,7 @@
         policy.name(),
         sampled.down_s,
         sampled.stranded_s,
-        sampled.two_groups + overridden,
+        sampled.two_groups + stale_orders_accepted,
         sampled.reverted,
     ))
 }
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -162,9 +162,9 @@
                 let free = (0..CONTROLLERS).all(|daemon| !self.down.contains(&daemon));
                 free && (0..CONTROLLERS).all(|daemon| self.take_down(daemon, Signal::Kill))
             }
-            DisturbanceKind::IsolateDaemon => self.isolate(daemon, FaultMode::Silence),
-            DisturbanceKind::SilenceLink => self.set_link(disturbance, FaultMode::Silence),
-            DisturbanceKind::CloseLink => self.set_link(disturbance, FaultMode::Cut),
+            DisturbanceKind::IsolateDaemon => self.isolate(daemon, FaultMode::Blackhole),
+            DisturbanceKind::SilenceLink => self.set_link(disturbance, FaultMode::Blackhole),
+            DisturbanceKind::CloseLink => self.set_link(disturbance, FaultMode::Disconnect),
             DisturbanceKind::DelayLink => self.set_link(disturbance, FaultMode::Delay(LINK_DELAY)),
             DisturbanceKind::KillWorker => {
                 worker.kill();
