--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -1,4 +1,4 @@
-//! Slopes of each role's costs, and what they come to at the target size.
+//! Measures how the costs of each role grow with size, and estimates them at the target size.
 
 use std::collections::BTreeSet;
 
@@ -17,22 +17,23 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
 
-use crate::capacity_clusters::{measure_spread, measure_streams};
+use crate::capacity_clusters::{measure_propagation, measure_streams};
 use crate::slopes::{SlopeCase, SlopeReport};
-use crate::stats::process_use;
+use crate::stats::process_usage;
 
-/// Workers at the target.
+/// Workers at the target size.
 const TARGET_NODES: usize = 12_000;
-/// Nodes of one zone at the target: 12,000 workers in 21 zones.
+/// Nodes of one zone at the target size: 12,000 workers in 21 zones.
 const ZONE_NODES: f64 = 571.0;
-/// Replicas of one zone at the target.
+/// Replicas of one zone at the target size.
 const ZONE_REPLICAS: f64 = 71.0;
-/// Not repeatable requests remembered by one shard at the target, see `docs/CAPACITY.md`.
-const SHARD_KEYS: f64 = 225_000.0;
+/// Non-repeatable requests whose claims one shard retains at the target size, see
+/// `docs/CAPACITY.md`.
+const SHARD_CLAIMS: f64 = 225_000.0;
 
 pub(crate) fn command() -> Command {
     Command::new("capacity")
-        .about("Measures the slopes of docs/CAPACITY.md again")
+        .about("Measures the slopes of docs/CAPACITY.md")
         .arg(Arg::new("plots").long("plots").help("Folder for a plot of each slope"))
         .arg(Arg::new("resident").long("resident").hide(true))
         .arg(Arg::new("size").long("size").value_parser(clap::value_parser!(usize)).hide(true))
@@ -40,45 +41,45 @@
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> Result<()> {
-    if let Some(what) = arguments.get_one::<String>("resident") {
+    if let Some(state_kind) = arguments.get_one::<String>("resident") {
         let size = arguments.get_one::<usize>("size").copied().unwrap_or(0);
-        println!("{}", resident_growth(what, size)?);
+        println!("{}", resident_growth(state_kind, size)?);
         return Ok(());
     }
     let report = SlopeReport { plots: arguments.get_one::<String>("plots").cloned() };
     let only = arguments.get_one::<String>("only").cloned().unwrap_or_default();
-    let wanted = |name: &str| only.is_empty() || name.contains(&only);
-    if wanted("planner") {
+    let selected = |name: &str| only.is_empty() || name.contains(&only);
+    if selected("planner") {
         measure_planner(&report)?;
     }
-    if wanted("picker") {
+    if selected("picker") {
         measure_picker(&report)?;
     }
-    if wanted("digest") {
+    if selected("digest") {
         measure_digests(&report)?;
     }
-    if wanted("state") {
+    if selected("state") {
         measure_state(&report)?;
     }
-    if wanted("claims") {
+    if selected("claims") {
         measure_claims(&report)?;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    if wanted("door") {
+    if selected("door") {
         runtime.block_on(measure_streams(&report))?;
     }
-    if wanted("spread") {
-        runtime.block_on(measure_spread(&report))?;
+    if selected("spread") {
+        runtime.block_on(measure_propagation(&report))?;
     }
     Ok(())
 }
 
-fn time_us(rounds: u32, mut act: impl FnMut()) -> f64 {
-    let begun = Instant::now();
+fn mean_time_us(rounds: u32, mut operation: impl FnMut()) -> f64 {
+    let started = Instant::now();
     for _ in 0..rounds {
-        act();
+        operation();
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
 }
 
 fn node_views(count: usize) -> Vec<NodeView> {
@@ -126,12 +127,12 @@
         let groups = 4;
         let demands: Vec<GroupDemand> = (0..groups)
             .map(|number| {
-                let wanted = (size / 8 / groups) as u32;
-                GroupDemand { spec: group_spec(number), desired: wanted }
+                let desired = (size / 8 / groups) as u32;
+                GroupDemand { spec: group_spec(number), desired }
             })
             .collect();
         let planner = GroupPlanner::new(demands).with_nodes(nodes);
-        Ok(time_us(3, || {
+        Ok(mean_time_us(3, || {
             std::hint::black_box(planner.plan());
         }) / 1000.0)
     })
@@ -165,7 +166,7 @@
             picker.record_start(&candidate.key, &[], now);
         }
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        Ok(time_us(2000, || {
+        Ok(mean_time_us(2000, || {
             std::hint::black_box(picker.pick(&candidates, &[1, 2, 3], &mut rng));
         }))
     })
@@ -224,7 +225,7 @@
     })
 }
 
-/// A change of the kind that a day brings most of: a label of one of the target's nodes.
+/// Returns a change of the most frequent kind: a label of one of the nodes at the target size.
 fn label_change(number: usize) -> ConfigChange {
     let node = number % TARGET_NODES;
     let labels = [("given".to_owned(), "hollowbarrow".to_owned())];
@@ -258,49 +259,50 @@
         target,
         budget,
     };
-    let day = 54_000.0;
-    report.measure(&per_change("apply_time", "ms", day, 86_400.0), |size| {
-        let begun = Instant::now();
+    let daily_changes = 54_000.0;
+    report.measure(&per_change("apply_time", "ms", daily_changes, 86_400.0), |size| {
+        let started = Instant::now();
         std::hint::black_box(filled_state(size));
-        Ok(begun.elapsed().as_secs_f64() * 1000.0)
+        Ok(started.elapsed().as_secs_f64() * 1000.0)
     })?;
-    report.measure(&per_change("snapshot_size", "MB", day, 32.0), |size| {
+    report.measure(&per_change("snapshot_size", "MB", daily_changes, 32.0), |size| {
         Ok(filled_state(size).to_snapshot().len() as f64 / 1e6)
     })?;
-    let mut catch_up = per_change("catch_up_time", "ms", day, 15_000.0);
+    let mut catch_up = per_change("catch_up_time", "ms", daily_changes, 15_000.0);
     catch_up.role = "follower";
     report.measure(&catch_up, |size| {
         let state = filled_state(size);
-        let begun = Instant::now();
+        let started = Instant::now();
         let snapshot = state.to_snapshot();
         let mut follower = ConfigState::new();
-        ensure!(follower.restore(&snapshot), "the snapshot cannot be read");
-        Ok(begun.elapsed().as_secs_f64() * 1000.0)
+        ensure!(follower.restore(&snapshot), "the follower cannot restore the snapshot");
+        Ok(started.elapsed().as_secs_f64() * 1000.0)
     })?;
-    let mut memory = per_change("state_memory", "MB", day, 64.0);
+    let mut memory = per_change("state_memory", "MB", daily_changes, 64.0);
     memory.role = "follower";
-    report.measure(&memory, |size| resident_elsewhere("state", size))
+    report.measure(&memory, |size| resident_growth_in_subprocess("state", size))
 }
 
-/// Growth of a fresh process's resident memory while a state is filled, in MB.
+/// Returns the growth of a new process's resident memory while it fills a state, in MB.
 ///
-/// It is measured in a process of its own, because here the allocator would fill the state into
-/// what an earlier measurement left.
-fn resident_elsewhere(what: &str, size: usize) -> Result<f64> {
+/// The state is filled in a subprocess, because in this process the allocator would reuse memory
+/// that an earlier measurement freed, and the resident memory would not grow.
+fn resident_growth_in_subprocess(state_kind: &str, size: usize) -> Result<f64> {
     let output = std::process::Command::new(std::env::current_exe()?)
-        .args(["capacity", "--resident", what, "--size", &size.to_string()])
+        .args(["capacity", "--resident", state_kind, "--size", &size.to_string()])
         .output()?;
     Ok(String::from_utf8(output.stdout)?.trim().parse()?)
 }
 
-fn resident_growth(what: &str, size: usize) -> Result<f64> {
-    let own = std::process::id();
-    let (_, before) = process_use(own).context("this process can be read")?;
-    let (state, claims) = match what {
+/// Returns the growth of this process's resident memory while it fills a state, in MB.
+fn resident_growth(state_kind: &str, size: usize) -> Result<f64> {
+    let pid = std::process::id();
+    let (_, before) = process_usage(pid).context("the usage of this process can be read")?;
+    let (state, claims) = match state_kind {
         "state" => (Some(filled_state(size)), None),
         _ => (None, Some(filled_claims(size))),
     };
-    let (_, after) = process_use(own).context("this process can be read")?;
+    let (_, after) = process_usage(pid).context("the usage of this process can be read")?;
     drop((state, claims));
     Ok(after.saturating_sub(before) as f64 / 1e6)
 }
@@ -323,19 +325,21 @@
 }
 
 fn measure_claims(report: &SlopeReport) -> Result<()> {
-    let case = |quantity, unit, budget| SlopeCase {
+    let key_case = |quantity, unit, budget| SlopeCase {
         role: "claims",
         quantity,
         unit,
         per: "key",
         sizes: &[2_000, 20_000, 80_000, 200_000],
-        target: SHARD_KEYS,
+        target: SHARD_CLAIMS,
         budget,
     };
-    report.measure(&case("key_memory", "MB", 64.0), |size| resident_elsewhere("claims", size))?;
-    report.measure(&case("open_time", "ms", 3_600_000.0), |size| {
-        let begun = Instant::now();
+    report.measure(&key_case("key_memory", "MB", 64.0), |size| {
+        resident_growth_in_subprocess("claims", size)
+    })?;
+    report.measure(&key_case("open_time", "ms", 3_600_000.0), |size| {
+        let started = Instant::now();
         std::hint::black_box(filled_claims(size));
-        Ok(begun.elapsed().as_secs_f64() * 1000.0)
+        Ok(started.elapsed().as_secs_f64() * 1000.0)
     })
 }
--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -1,4 +1,5 @@
-//! Slopes of daemons that run: streams through one, and changes through clusters.
+//! Measures running daemons: memory and CPU time by the number of streams, and the propagation of
+//! changes by the size of the cluster.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,18 +10,20 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use crate::load::{LoadMix, LoadPlan, drive};
-use crate::slopes::{RUNS, SlopeCase, SlopeReport};
-use crate::stats::{fit_line, process_use};
+use crate::load::{LoadMix, LoadPlan, generate_load};
+use crate::slopes::{RUNS_PER_SIZE, SlopeCase, SlopeReport};
+use crate::stats::{fit_line, process_usage};
 
-/// Daemons at the target.
+/// Daemons at the target size.
 const DAEMONS: f64 = 410.0;
-/// Streams in flight at one daemon at the target: 20,000 requests/s of 7.2 s each over 410.
+/// Streams in flight at one daemon at the target size: 20,000 requests/s of 7.2 s each over 410
+/// daemons.
 const DAEMON_STREAMS: f64 = 351.0;
-/// Tokens a second through one daemon at the target.
+/// Tokens per second through one daemon at the target size.
 const DAEMON_TOKENS: f64 = 13_659.0;
+
 async fn small_cluster(zones: &[(ZoneId, u32)], fleet: FleetConfig) -> Result<Cluster> {
-    let program = std::env::current_exe().context("the measurement knows its own program")?;
+    let program = std::env::current_exe().context("the path of this program is known")?;
     let timing = json!({"probe_ms": 500, "digest_ms": 500, "lease_ms": 2500, "election_ms": 1000,
         "authority_ms": 2000, "balancer_ms": 0});
     let config = ClusterConfig::new(&program, &["daemon"], zones, fleet)
@@ -31,7 +34,7 @@
     Ok(cluster)
 }
 
-/// Memory and processor time of a daemon by its streams.
+/// Measures a daemon's memory by its streams in flight and its CPU time by the tokens it forwards.
 pub(crate) async fn measure_streams(report: &SlopeReport) -> Result<()> {
     let zones = [(ZoneId::from("a"), 1)];
     let model =
@@ -42,24 +45,24 @@
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 1,
         "count": 6, "selector": {"match_labels": {"given": "hollowbarrow"}}}});
     cluster.change("a0", "group", &group).await;
-    ensure!(cluster.wait_serving("a0", "drafts", 6).await, "the group does not serve");
-    let door = cluster.callers("a0");
+    ensure!(cluster.wait_serving("a0", "drafts", 6).await, "not all replicas of the group serve");
+    let ingress = cluster.callers("a0");
     let pid = cluster.pid("a0").context("a0 runs")?;
     let sizes: &'static [usize] = &[8, 40, 160, 400];
     let mut memory = Vec::new();
     let mut cpu = Vec::new();
     for size in sizes {
         let mut memory_runs = Vec::new();
-        for seed in 0..RUNS as u64 {
-            let mix = LoadMix { name: "streams", streams: 1000, reads: 0, holds: 0 };
-            // Each stream lasts a little over a second, so the rate is the number in flight.
+        for seed in 0..RUNS_PER_SIZE as u64 {
+            let mix = LoadMix { name: "streams", streams: 1000, reads: 0, reservations: 0 };
+            // A stream lasts about 1.1 s, so this rate keeps `size` streams in flight.
             let rate = *size as f64 / 1.1;
             let time = Duration::from_millis(2500);
-            let plan = LoadPlan { mix, doors: vec![door], rate, time, seed };
-            let (before, _) = process_use(pid).context("a0 can be read")?;
-            let outcome = drive(plan).await;
-            let (after, resident) = process_use(pid).context("a0 can be read")?;
-            ensure!(outcome.lost + outcome.unknown == 0, "streams failed while measuring");
+            let plan = LoadPlan { mix, targets: vec![ingress], rate, time, seed };
+            let (before, _) = process_usage(pid).context("the usage of a0 can be read")?;
+            let outcome = generate_load(plan).await;
+            let (after, resident) = process_usage(pid).context("the usage of a0 can be read")?;
+            ensure!(outcome.lost + outcome.unknown == 0, "streams failed during the measurement");
             memory_runs.push(resident as f64 / 1e6);
             cpu.push((outcome.tokens as f64, (after - before) * 1000.0));
         }
@@ -74,8 +77,8 @@
         target: DAEMON_STREAMS,
         budget: 512.0,
     };
-    report.finish(&case, &memory)?;
-    // What the daemon does anyway in the time of a run is the line's intercept.
+    report.print(&case, &memory)?;
+    // The intercept is the CPU time that the daemon uses during a run without any streams.
     let (slope, intercept) = fit_line(&cpu);
     let at_target = slope * DAEMON_TOKENS / 1000.0;
     let points: Vec<String> =
@@ -89,12 +92,13 @@
     Ok(())
 }
 
-/// How long a change takes to be in force everywhere, and what control costs a daemon.
-pub(crate) async fn measure_spread(report: &SlopeReport) -> Result<()> {
+/// Measures the time until a change is in force on all daemons, and the CPU time, traffic and
+/// memory of an idle daemon.
+pub(crate) async fn measure_propagation(report: &SlopeReport) -> Result<()> {
     let sizes: &'static [usize] = &[3, 9, 30, 100];
     let mut results: BTreeMap<&str, Vec<(usize, Vec<f64>)>> = BTreeMap::new();
     for size in sizes {
-        let measured = measure_spread_at(*size).await?;
+        let measured = measure_propagation_at(*size).await?;
         for (quantity, runs) in measured {
             results.entry(quantity).or_default().push((*size, runs));
         }
@@ -115,12 +119,12 @@
             target: DAEMONS,
             budget,
         };
-        report.finish(&case, &results[quantity])?;
+        report.print(&case, &results[quantity])?;
     }
     Ok(())
 }
 
-async fn measure_spread_at(size: usize) -> Result<Vec<(&'static str, Vec<f64>)>> {
+async fn measure_propagation_at(size: usize) -> Result<Vec<(&'static str, Vec<f64>)>> {
     let zones: Vec<(ZoneId, u32)> = ["a", "b", "c"]
         .iter()
         .zip(0..)
@@ -137,59 +141,63 @@
     };
     cluster.change("a0", "first", &group(0)).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let (mut medians, mut worsts) = (Vec::new(), Vec::new());
-    for round in 1..=RUNS {
-        let begun = Instant::now();
+    let (mut medians, mut maxima) = (Vec::new(), Vec::new());
+    for round in 1..=RUNS_PER_SIZE {
+        let started = Instant::now();
         let reply = cluster.change("b0", &format!("round {round}"), &group(round)).await;
         ensure!(reply.status == 200, "a change was refused: {}", reply.body);
-        let mut times = wait_everywhere(&cluster, round, begun).await?;
+        let mut times = wait_in_force(&cluster, round, started).await?;
         times.sort_by(f64::total_cmp);
         medians.push(times[times.len() / 2]);
-        worsts.push(times[times.len() - 1]);
+        maxima.push(times[times.len() - 1]);
     }
-    let idle = Duration::from_secs(4);
-    // A daemon that is no member of its zone's authority is the common kind at the target.
-    let common = cluster.ids().last().cloned().context("there are daemons")?;
+    let idle_time = Duration::from_secs(4);
+    // At the target size, most daemons are not members of their zone's authority. The last daemon
+    // of the cluster represents these.
+    let measured_daemon = cluster.ids().last().cloned().context("there are daemons")?;
     let (mut cpu, mut bytes, mut memory) = (Vec::new(), Vec::new(), Vec::new());
-    for _ in 0..RUNS {
-        let pid = cluster.pid(&common).context("it runs")?;
-        let traffic_before = peer_bytes(&cluster, &common).await;
-        let (cpu_before, _) = process_use(pid).context("it can be read")?;
-        tokio::time::sleep(idle).await;
-        let (cpu_after, resident) = process_use(pid).context("it can be read")?;
-        let traffic_after = peer_bytes(&cluster, &common).await;
-        cpu.push((cpu_after - cpu_before) * 100.0 / idle.as_secs_f64());
-        bytes.push((traffic_after - traffic_before) / idle.as_secs_f64());
+    for _ in 0..RUNS_PER_SIZE {
+        let pid = cluster.pid(&measured_daemon).context("the daemon runs")?;
+        let traffic_before = peer_bytes(&cluster, &measured_daemon).await;
+        let (cpu_before, _) = process_usage(pid).context("the daemon's usage can be read")?;
+        tokio::time::sleep(idle_time).await;
+        let (cpu_after, resident) = process_usage(pid).context("the daemon's usage can be read")?;
+        let traffic_after = peer_bytes(&cluster, &measured_daemon).await;
+        cpu.push((cpu_after - cpu_before) * 100.0 / idle_time.as_secs_f64());
+        bytes.push((traffic_after - traffic_before) / idle_time.as_secs_f64());
         memory.push(resident as f64 / 1e6);
     }
     Ok(vec![
         ("spread_median", medians),
-        ("spread_worst", worsts),
+        ("spread_worst", maxima),
         ("control_cpu", cpu),
         ("control_bytes", bytes),
         ("resident_memory", memory),
     ])
 }
 
-/// Milliseconds until each daemon had a change in force.
-async fn wait_everywhere(cluster: &Cluster, round: usize, begun: Instant) -> Result<Vec<f64>> {
+/// Returns the milliseconds after which each daemon had a change in force.
+async fn wait_in_force(cluster: &Cluster, round: usize, started: Instant) -> Result<Vec<f64>> {
     let version = round.to_string();
-    let mut waiting: BTreeSet<String> = cluster.ids().into_iter().collect();
+    let mut pending: BTreeSet<String> = cluster.ids().into_iter().collect();
     let mut times = Vec::new();
-    while !waiting.is_empty() {
-        ensure!(begun.elapsed() < Duration::from_secs(60), "{waiting:?} do not follow");
-        for id in waiting.clone() {
+    while !pending.is_empty() {
+        ensure!(
+            started.elapsed() < Duration::from_secs(60),
+            "{pending:?} did not apply the change within 60 s"
+        );
+        for id in pending.clone() {
             let groups = cluster.read(&id, "/groups").await;
             if groups[0]["spec"]["version"] == version.as_str() {
-                times.push(begun.elapsed().as_secs_f64() * 1000.0);
-                waiting.remove(&id);
+                times.push(started.elapsed().as_secs_f64() * 1000.0);
+                pending.remove(&id);
             }
         }
     }
     Ok(times)
 }
 
-/// Bytes of messages that a daemon has sent and received.
+/// Returns the bytes of messages that a daemon has sent to and received from its peers.
 async fn peer_bytes(cluster: &Cluster, id: &str) -> f64 {
     let reply = cluster.call_operator_api(id, hyper::Method::GET, "/metrics", &json!(null)).await;
     let lines = reply.body.lines().filter(|line| line.starts_with("hollowbarrow_peer_bytes"));
--- a/crates/measure/src/daemon.rs
+++ b/crates/measure/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Runs one daemon, as the product's own binary would, for the measurements' clusters.
+//! Runs one daemon of a measurement cluster, as the product's binary does.
 
 use anyhow::{Context, Result};
 use clap::{Arg, ArgAction, ArgMatches, Command};
@@ -9,14 +9,14 @@
 
 pub(crate) fn command() -> Command {
     Command::new("daemon")
-        .about("Runs one daemon of a measurement; the measurements start it themselves")
+        .about("Runs one daemon of a measurement cluster; started by the other subcommands")
         .hide(true)
         .arg(Arg::new("rebuild-all").long("rebuild-all").action(ArgAction::SetTrue))
         .arg(Arg::new("settings").required(true))
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> Result<()> {
-    let path = arguments.get_one::<String>("settings").context("settings are needed")?;
+    let path = arguments.get_one::<String>("settings").context("the settings path is missing")?;
     let settings = read_settings(path, &std::fs::read_to_string(path)?)?;
     let _logger = start_logging("info")?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
--- a/crates/measure/src/doors.rs
+++ b/crates/measure/src/doors.rs
@@ -1,7 +1,8 @@
-//! Compares ways to serve callers: the house's HTTP library, what lies beneath it, and its kin.
+//! Compares HTTP servers for the ingress: rouille, tiny_http, on which rouille is built, and hyper.
 //!
-//! Each way runs in a process of its own and sends the same stream: tokens at
-//! the pace that the users ask for. The parent looks at it from outside.
+//! Each server runs in its own process and sends the same stream of tokens at
+//! the token rate that the users require. The parent process measures it from
+//! outside.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::SocketAddr;
@@ -14,21 +15,21 @@
 use hyper::Method;
 use tokio::time::Instant;
 
-use crate::stats::{TimeSeries, process_use};
+use crate::stats::{DurationHistogram, process_usage};
 
-/// Time between two tokens, as the users want it at the target.
-const PACE: Duration = Duration::from_millis(26);
+/// Interval between two tokens that the users require at the target size.
+const TOKEN_INTERVAL: Duration = Duration::from_millis(26);
 const TOKENS: usize = 60;
 const TOKEN: &[u8] = b"data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"token\"}}]}\n\n";
 const STREAMS: usize = 400;
-const IDLE: usize = 1000;
-const CONNECTIONS: usize = 1000;
-const KINDS: &[&str] = &["rouille_response", "tiny_http_flushed", "hyper"];
+const IDLE_CONNECTIONS: usize = 1000;
+const CLIENT_CALLS: usize = 1000;
+const SERVER_KINDS: &[&str] = &["rouille_response", "tiny_http_flushed", "hyper"];
 
 pub(crate) fn command() -> Command {
     Command::new("doors")
-        .about("Compares ways to serve callers")
-        .arg(Arg::new("serve").long("serve").hide(true).value_parser(KINDS.to_vec()))
+        .about("Compares HTTP servers for the ingress")
+        .arg(Arg::new("serve").long("serve").hide(true).value_parser(SERVER_KINDS.to_vec()))
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> Result<()> {
@@ -36,28 +37,28 @@
         return serve(kind);
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    for kind in KINDS {
-        let server = DoorServer::start(kind)?;
+    for kind in SERVER_KINDS {
+        let server = ServerProcess::start(kind)?;
         println!("{}", runtime.block_on(measure(kind, &server))?);
     }
-    let server = DoorServer::start("hyper")?;
+    let server = ServerProcess::start("hyper")?;
     println!("{}", measure_clients(&runtime, &server)?);
     Ok(())
 }
 
-struct DoorServer {
+struct ServerProcess {
     child: Child,
     address: SocketAddr,
 }
 
-impl DoorServer {
+impl ServerProcess {
     fn start(kind: &str) -> Result<Self> {
         let mut child = Process::new(std::env::current_exe()?)
             .args(["doors", "--serve", kind])
             .stdout(Stdio::piped())
             .spawn()?;
         let mut line = String::new();
-        let output = child.stdout.take().context("the server has an output")?;
+        let output = child.stdout.take().context("the standard output of the server is piped")?;
         BufReader::new(output).read_line(&mut line)?;
         Ok(Self { child, address: line.trim().parse()? })
     }
@@ -70,7 +71,7 @@
     }
 }
 
-impl Drop for DoorServer {
+impl Drop for ServerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -81,85 +82,86 @@
     CallerCall::new(Method::GET, "/stream", CALLER_KEY).send(address).await
 }
 
-async fn measure(kind: &str, server: &DoorServer) -> Result<String> {
+async fn measure(kind: &str, server: &ServerProcess) -> Result<String> {
     let pid = server.child.id();
-    let one = stream(server.address).await;
-    let (cpu_before, memory_before) = process_use(pid).context("the server runs")?;
+    let single = stream(server.address).await;
+    let (cpu_before, memory_before) = process_usage(pid).context("the server runs")?;
     let replies = join_all((0..STREAMS).map(|_| stream(server.address)).collect()).await;
-    let (cpu_after, memory_after) = process_use(pid).context("the server runs")?;
-    let mut first = TimeSeries::new();
-    let mut gaps = TimeSeries::new();
-    let mut whole = 0;
+    let (cpu_after, memory_after) = process_usage(pid).context("the server runs")?;
+    let mut first_token = DurationHistogram::new();
+    let mut token_gaps = DurationHistogram::new();
+    let mut complete = 0;
     for reply in &replies {
-        whole += usize::from(reply.whole && reply.body.len() == TOKENS * TOKEN.len());
+        complete += usize::from(reply.whole && reply.body.len() == TOKENS * TOKEN.len());
         if let Some(time) = reply.first {
-            first.note(time);
+            first_token.record(time);
         }
         for pair in reply.pieces.windows(2) {
-            gaps.note(pair[1] - pair[0]);
+            token_gaps.record(pair[1] - pair[0]);
         }
     }
     let threads_before = server.threads();
-    let (_, idle_before) = process_use(pid).context("the server runs")?;
+    let (_, idle_before) = process_usage(pid).context("the server runs")?;
     let mut idle = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_CONNECTIONS {
         idle.push(tokio::net::TcpStream::connect(server.address).await?);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let idle_threads = server.threads();
-    let (_, idle_after) = process_use(pid).context("the server runs")?;
+    let (_, idle_after) = process_usage(pid).context("the server runs")?;
     drop(idle);
     Ok(format!(
-        "door={kind} first_token_alone_ms={:.1} pieces_alone={} streams={STREAMS} whole={whole} \
+        "door={kind} first_token_alone_ms={:.1} pieces_alone={} streams={STREAMS} whole={complete} \
          first_token_p95_ms={:.1} token_gap_p95_ms={:.1} cpu_ms_per_stream={:.2} kb_per_stream={:.1} \
-         idle_connections={IDLE} idle_threads={} kb_per_idle={:.1}",
-        one.first.unwrap_or_default().as_secs_f64() * 1000.0,
-        one.pieces.len(),
-        first.quantile_ms(0.95),
-        gaps.quantile_ms(0.95),
+         idle_connections={IDLE_CONNECTIONS} idle_threads={} kb_per_idle={:.1}",
+        single.first.unwrap_or_default().as_secs_f64() * 1000.0,
+        single.pieces.len(),
+        first_token.quantile_ms(0.95),
+        token_gaps.quantile_ms(0.95),
         (cpu_after - cpu_before) * 1000.0 / STREAMS as f64,
         (memory_after.saturating_sub(memory_before)) as f64 / 1024.0 / STREAMS as f64,
         idle_threads.saturating_sub(threads_before),
-        (idle_after.saturating_sub(idle_before)) as f64 / 1024.0 / IDLE as f64,
+        (idle_after.saturating_sub(idle_before)) as f64 / 1024.0 / IDLE_CONNECTIONS as f64,
     ))
 }
 
-/// Cost of a call on a new connection by the house's client, and on a kept one by its kin.
-fn measure_clients(runtime: &tokio::runtime::Runtime, server: &DoorServer) -> Result<String> {
+/// Measures the duration of calls by attohttpc, which opens a connection for each, and by hyper on
+/// one keep-alive connection.
+fn measure_clients(runtime: &tokio::runtime::Runtime, server: &ServerProcess) -> Result<String> {
     let url = format!("http://{}/short", server.address);
-    let mut fresh = TimeSeries::new();
-    for _ in 0..CONNECTIONS {
-        let begun = Instant::now();
+    let mut new_connections = DurationHistogram::new();
+    for _ in 0..CLIENT_CALLS {
+        let started = Instant::now();
         attohttpc::get(&url).send()?.bytes()?;
-        fresh.note(begun.elapsed());
+        new_connections.record(started.elapsed());
     }
-    let kept = runtime.block_on(measure_kept(server.address))?;
+    let keep_alive = runtime.block_on(measure_keep_alive(server.address))?;
     Ok(format!(
-        "client=attohttpc calls={CONNECTIONS} p50_ms={:.3} p99_ms={:.3} connections={CONNECTIONS}\n\
-         client=hyper_kept calls={CONNECTIONS} p50_ms={:.3} p99_ms={:.3} connections=1",
-        fresh.quantile_ms(0.5),
-        fresh.quantile_ms(0.99),
-        kept.quantile_ms(0.5),
-        kept.quantile_ms(0.99),
+        "client=attohttpc calls={CLIENT_CALLS} p50_ms={:.3} p99_ms={:.3} connections={CLIENT_CALLS}\n\
+         client=hyper_kept calls={CLIENT_CALLS} p50_ms={:.3} p99_ms={:.3} connections=1",
+        new_connections.quantile_ms(0.5),
+        new_connections.quantile_ms(0.99),
+        keep_alive.quantile_ms(0.5),
+        keep_alive.quantile_ms(0.99),
     ))
 }
 
-async fn measure_kept(address: SocketAddr) -> Result<TimeSeries> {
+async fn measure_keep_alive(address: SocketAddr) -> Result<DurationHistogram> {
     use http_body_util::{BodyExt, Empty};
     let stream = tokio::net::TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let io = hyper_util::rt::TokioIo::new(stream);
     let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
     tokio::spawn(connection);
-    let mut times = TimeSeries::new();
-    for _ in 0..CONNECTIONS {
+    let mut times = DurationHistogram::new();
+    for _ in 0..CLIENT_CALLS {
         let request = hyper::Request::get("/short")
             .header("host", address.to_string())
             .body(Empty::<bytes::Bytes>::new())?;
-        let begun = Instant::now();
+        let started = Instant::now();
         sender.ready().await?;
         sender.send_request(request).await?.into_body().collect().await?;
-        times.note(begun.elapsed());
+        times.record(started.elapsed());
     }
     Ok(times)
 }
@@ -167,28 +169,28 @@
 fn serve(kind: &str) -> Result<()> {
     match kind {
         "rouille_response" => serve_rouille(),
-        "tiny_http_flushed" => serve_tiny(),
+        "tiny_http_flushed" => serve_tiny_http(),
         _ => serve_hyper(),
     }
 }
 
-fn announce(address: SocketAddr) {
+fn print_address(address: SocketAddr) {
     println!("{address}");
     let _ = std::io::stdout().flush();
 }
 
-/// Gives one token each time it is read.
+/// Returns one token per read, after the token interval.
 struct PacedReader {
-    left: usize,
+    remaining: usize,
 }
 
 impl Read for PacedReader {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return Ok(0);
         }
-        self.left -= 1;
-        std::thread::sleep(PACE);
+        self.remaining -= 1;
+        std::thread::sleep(TOKEN_INTERVAL);
         buffer[..TOKEN.len()].copy_from_slice(TOKEN);
         Ok(TOKEN.len())
     }
@@ -199,21 +201,21 @@
         "/stream" => rouille::Response {
             status_code: 200,
             headers: vec![("content-type".into(), "text/event-stream".into())],
-            data: rouille::ResponseBody::from_reader(PacedReader { left: TOKENS }),
+            data: rouille::ResponseBody::from_reader(PacedReader { remaining: TOKENS }),
             upgrade: None,
         },
         _ => rouille::Response::text("short"),
     })
     .map_err(|error| anyhow::anyhow!("{error}"))?;
-    announce(server.server_addr());
+    print_address(server.server_addr());
     server.run();
     Ok(())
 }
 
-fn serve_tiny() -> Result<()> {
+fn serve_tiny_http() -> Result<()> {
     let server =
         tiny_http::Server::http("127.0.0.1:0").map_err(|error| anyhow::anyhow!("{error}"))?;
-    announce(server.server_addr().to_ip().context("it listens on an IP number")?);
+    print_address(server.server_addr().to_ip().context("the server listens on an IP address")?);
     loop {
         let request = server.recv()?;
         std::thread::spawn(move || write_paced(request));
@@ -226,7 +228,7 @@
         b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n",
     )?;
     for _ in 0..TOKENS {
-        std::thread::sleep(PACE);
+        std::thread::sleep(TOKEN_INTERVAL);
         write!(writer, "{:x}\r\n", TOKEN.len())?;
         writer.write_all(TOKEN)?;
         writer.write_all(b"\r\n")?;
@@ -239,11 +241,11 @@
 fn serve_hyper() -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        // The queue that the product's own door has.
+        // The accept backlog of the product's ingress.
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let listener = socket.listen(4096)?;
-        announce(listener.local_addr()?);
+        print_address(listener.local_addr()?);
         loop {
             let (stream, _) = listener.accept().await?;
             stream.set_nodelay(true)?;
@@ -256,9 +258,9 @@
     })
 }
 
-/// Body whose tokens come at the pace.
+/// Body whose tokens arrive at the token interval.
 struct PacedBody {
-    left: usize,
+    remaining: usize,
     paced: bool,
     timer: std::pin::Pin<Box<tokio::time::Sleep>>,
 }
@@ -271,14 +273,14 @@
         mut self: std::pin::Pin<&mut Self>,
         context: &mut std::task::Context<'_>,
     ) -> std::task::Poll<Option<Result<hyper::body::Frame<bytes::Bytes>, Self::Error>>> {
-        if self.left == 0 {
+        if self.remaining == 0 {
             return std::task::Poll::Ready(None);
         }
         if self.paced {
             std::task::ready!(self.timer.as_mut().poll(context));
         }
-        self.left -= 1;
-        self.timer.as_mut().reset(Instant::now() + PACE);
+        self.remaining -= 1;
+        self.timer.as_mut().reset(Instant::now() + TOKEN_INTERVAL);
         let frame = hyper::body::Frame::data(bytes::Bytes::from_static(TOKEN));
         std::task::Poll::Ready(Some(Ok(frame)))
     }
@@ -288,7 +290,7 @@
     request: hyper::Request<hyper::body::Incoming>,
 ) -> Result<hyper::Response<PacedBody>, std::convert::Infallible> {
     let paced = request.uri().path() == "/stream";
-    let left = if paced { TOKENS } else { 1 };
-    let timer = Box::pin(tokio::time::sleep(PACE));
-    Ok(hyper::Response::new(PacedBody { left, paced, timer }))
+    let remaining = if paced { TOKENS } else { 1 };
+    let timer = Box::pin(tokio::time::sleep(TOKEN_INTERVAL));
+    Ok(hyper::Response::new(PacedBody { remaining, paced, timer }))
 }
--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -1,4 +1,4 @@
-//! Group downtime and stranded accelerators under a list of faults.
+//! Measures group downtime and stranded accelerators under a list of faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-use crate::sampler::{SampledCase, WantedGroups, sample};
+use crate::sampler::{DesiredReplicas, SampledCase, sample};
 
-/// How long a case is watched after its fault.
-const WATCH: Duration = Duration::from_secs(9);
-/// Pause between two requests of the load.
-const LOAD_PAUSE: Duration = Duration::from_millis(8);
-/// Milliseconds of a heartbeat's lease in the clusters of these measurements.
+/// Time for which the cluster is sampled after the fault.
+const SAMPLE_TIME: Duration = Duration::from_secs(9);
+/// Interval between two requests of the load.
+const LOAD_INTERVAL: Duration = Duration::from_millis(8);
+/// Heartbeat lease in the clusters of these measurements, in milliseconds.
 const LEASE_MS: u64 = 900;
 
 const CASES: &[&str] = &[
@@ -40,12 +40,14 @@
     "zone_cut_and_member_killed",
 ];
 
-/// How a user weighs downtime against idle accelerators.
+/// Groups of a user, which weigh downtime against idle accelerators.
+///
+/// The baseline has the groups of Tábortűz on daemons that run with `--rebuild-all`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UserPolicy {
     Taborttuz,
     SettlementDesk,
-    Naive,
+    Baseline,
 }
 
 impl UserPolicy {
@@ -53,7 +55,7 @@
         match self {
             Self::Taborttuz => "taborttuz",
             Self::SettlementDesk => "settlement_desk",
-            Self::Naive => "naive",
+            Self::Baseline => "naive",
         }
     }
 
@@ -64,11 +66,11 @@
                 "selector": {"match_labels": {"given": "hollowbarrow"}}}})
         };
         match self {
-            // Four nodes a domain: one spare stands beside each replica of three.
-            Self::Taborttuz | Self::Naive => {
+            // A domain has four nodes: three for a replica and one for its spare.
+            Self::Taborttuz | Self::Baseline => {
                 vec![group("assistant", 3, 3, "urgent", 1), group("nightly", 3, 2, "batch", 0)]
             }
-            // Every node works: a loss means waiting for the node or moving.
+            // Every node is in use: after a loss the replica waits for the node or moves.
             Self::SettlementDesk => {
                 vec![group("disputes", 2, 6, "normal", 0), group("billing", 2, 6, "batch", 0)]
             }
@@ -78,20 +80,21 @@
 
 pub(crate) fn command() -> Command {
     Command::new("groups")
-        .about("Runs the list of faults on nine processes with both users' policies")
+        .about("Runs the list of faults on nine daemons with both users' policies and the baseline")
         .arg(Arg::new("case").long("case").help("Only this case"))
         .arg(Arg::new("policy").long("policy").help("Only this policy"))
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> Result<()> {
-    let only = arguments.get_one::<String>("case").map(String::as_str);
+    let selected_case = arguments.get_one::<String>("case").map(String::as_str);
     let policy = arguments.get_one::<String>("policy").map(String::as_str);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        for case in CASES.iter().filter(|case| only.is_none_or(|only| only == **case)) {
-            let policies = [UserPolicy::Taborttuz, UserPolicy::SettlementDesk, UserPolicy::Naive];
-            let chosen = policies.iter().filter(|p| policy.is_none_or(|name| name == p.name()));
-            let runs: Vec<_> = chosen.map(|p| tokio::spawn(run_case(case, *p))).collect();
+        for case in CASES.iter().filter(|case| selected_case.is_none_or(|name| name == **case)) {
+            let policies =
+                [UserPolicy::Taborttuz, UserPolicy::SettlementDesk, UserPolicy::Baseline];
+            let selected = policies.iter().filter(|p| policy.is_none_or(|name| name == p.name()));
+            let runs: Vec<_> = selected.map(|p| tokio::spawn(run_case(case, *p))).collect();
             for run in runs {
                 println!("{}", run.await??);
             }
@@ -102,7 +105,7 @@
 
 async fn run_case(case: &'static str, policy: UserPolicy) -> Result<String> {
     let mut cluster = start_cluster(case, policy).await?;
-    let wanted: WantedGroups = policy
+    let desired: DesiredReplicas = policy
         .groups()
         .iter()
         .map(|group| {
@@ -111,10 +114,10 @@
             (spec["name"].as_str().unwrap_or_default().to_owned(), count)
         })
         .collect();
-    let load = spawn_load(&cluster, &wanted);
+    let load = spawn_load(&cluster, &desired);
     let mut sampled = SampledCase::default();
-    inflict(&mut cluster, case, &wanted, &mut sampled).await?;
-    sample(&cluster, &wanted, WATCH, &mut sampled).await;
+    inject_fault(&mut cluster, case, &desired, &mut sampled).await?;
+    sample(&cluster, &desired, SAMPLE_TIME, &mut sampled).await;
     load.abort();
     let history = cluster.fleet().history().to_vec();
     let incomplete = history.iter().filter(|run| run.missing_ms > LEASE_MS).count();
@@ -125,18 +128,18 @@
         "case={case} policy={} served={served} group_downtime_s={:.2} stranded_accelerator_s={:.2} repair_s={repair} \
          two_groups={} served_incomplete={incomplete} reverted={}",
         policy.name(),
-        sampled.down_s,
+        sampled.downtime_s,
         sampled.stranded_s,
-        sampled.two_groups + stale_orders_accepted,
-        sampled.reverted,
+        sampled.double_allocations + stale_orders_accepted,
+        sampled.regressions,
     ))
 }
 
-/// Keeps asking for short completions through all daemons, so that a replica that serves when
-/// it must not is caught at it.
-fn spawn_load(cluster: &Cluster, wanted: &WantedGroups) -> tokio::task::JoinHandle<()> {
-    let doors: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
-    let models: Vec<String> = wanted.keys().cloned().collect();
+/// Requests short completions through all daemons until aborted, so that the run history shows
+/// replicas that serve although they must not.
+fn spawn_load(cluster: &Cluster, desired: &DesiredReplicas) -> tokio::task::JoinHandle<()> {
+    let ingresses: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let models: Vec<String> = desired.keys().cloned().collect();
     tokio::spawn(async move {
         for number in 0_usize.. {
             let model = &models[number % models.len()];
@@ -144,9 +147,9 @@
             let call = CallerCall::new(Method::POST, "/v1/completions", CALLER_KEY)
                 .with_body(&body.to_string())
                 .with_timeout(Duration::from_secs(2));
-            let door = doors[number % doors.len()];
-            tokio::spawn(async move { call.send(door).await });
-            tokio::time::sleep(LOAD_PAUSE).await;
+            let ingress = ingresses[number % ingresses.len()];
+            tokio::spawn(async move { call.send(ingress).await });
+            tokio::time::sleep(LOAD_INTERVAL).await;
         }
     })
 }
@@ -155,12 +158,12 @@
     let zones = ["a", "b", "c"].map(ZoneId::from);
     let fleet = FleetConfig::new(&zones, 2, 4).with_unfenced_nodes(true);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
-    let program = std::env::current_exe().context("the measurement knows its own program")?;
+    let program = std::env::current_exe().context("the path of this program is known")?;
     let arguments: &[&str] =
-        if policy == UserPolicy::Naive { &["daemon", "--rebuild-all"] } else { &["daemon"] };
+        if policy == UserPolicy::Baseline { &["daemon", "--rebuild-all"] } else { &["daemon"] };
     let mut config = ClusterConfig::new(&program, arguments, &counts, fleet);
     if case == "disk_full" {
-        // Enough for the start and the labels, but not for what follows.
+        // Enough for the start and the labels, but not for the later changes.
         config = config.with_file_blocks("a0", 24);
     }
     let cluster = Cluster::start(config);
@@ -174,58 +177,67 @@
         let spec = &group["put_group"];
         let name = spec["name"].as_str().unwrap_or_default();
         let count = spec["count"].as_u64().unwrap_or(0);
-        ensure!(cluster.wait_serving("b1", name, count).await, "{name} does not serve at first");
+        ensure!(
+            cluster.wait_serving("b1", name, count).await,
+            "group {name} does not serve before the fault"
+        );
     }
     Ok(cluster)
 }
 
-/// A serving replica's members, in a zone if one is named.
-async fn some_members(cluster: &Cluster, wanted: &WantedGroups, zone: &str) -> Result<Vec<NodeId>> {
+/// Returns the members of a serving replica whose zone starts with `zone`, as the daemons whose
+/// ids start with `zone` list it.
+async fn serving_members(
+    cluster: &Cluster,
+    desired: &DesiredReplicas,
+    zone: &str,
+) -> Result<Vec<NodeId>> {
     for id in cluster.ids().iter().filter(|id| id.starts_with(zone)) {
-        for group in wanted.keys() {
+        for group in desired.keys() {
             let replicas = cluster.serving_replicas(id, group).await;
-            let found = replicas.into_iter().find(|(of, _)| of.starts_with(zone));
+            let found =
+                replicas.into_iter().find(|(replica_zone, _)| replica_zone.starts_with(zone));
             if let Some((_, members)) = found {
                 return Ok(members.iter().map(|member| NodeId::from(member.as_str())).collect());
             }
         }
     }
-    anyhow::bail!("nothing serves")
+    anyhow::bail!("no replica serves")
 }
 
-async fn status_of(cluster: &Cluster, id: &str, field: &str) -> Result<String> {
+async fn read_status(cluster: &Cluster, id: &str, field: &str) -> Result<String> {
     let status = cluster.read(id, "/status").await;
     let value = status[field].as_str().map(str::to_owned);
-    value.with_context(|| format!("{id} knows no {field}"))
+    value.with_context(|| format!("the status of {id} has no {field}"))
 }
 
-async fn inflict(
+async fn inject_fault(
     cluster: &mut Cluster,
     case: &str,
-    wanted: &WantedGroups,
+    desired: &DesiredReplicas,
     sampled: &mut SampledCase,
 ) -> Result<()> {
     let second = Duration::from_secs(1);
-    let members = some_members(cluster, wanted, "").await?;
-    let leader = status_of(cluster, "b1", "leader").await?;
-    let far = ZoneId::from("c");
+    let members = serving_members(cluster, desired, "").await?;
+    let leader = read_status(cluster, "b1", "leader").await?;
+    let partitioned_zone = ZoneId::from("c");
     match case {
         "member_killed" => cluster.fleet().kill(&members[0]),
         "member_paused" => {
             cluster.fleet().pause(&members[0]);
-            sample(cluster, wanted, second * 4, sampled).await;
+            sample(cluster, desired, second * 4, sampled).await;
             cluster.fleet().resume(&members[0]);
         }
         "member_returns" => {
             cluster.fleet().kill(&members[1]);
-            sample(cluster, wanted, second, sampled).await;
+            sample(cluster, desired, second, sampled).await;
             cluster.fleet().restart_with_state(&members[1]);
         }
         "second_loss" => {
             cluster.fleet().kill(&members[0]);
-            sample(cluster, wanted, second * 3, sampled).await;
-            if let Ok(next) = some_members(cluster, wanted, "a").await {
-                cluster.fleet().kill(&next[1]);
+            sample(cluster, desired, second * 3, sampled).await;
+            if let Ok(remaining) = serving_members(cluster, desired, "a").await {
+                cluster.fleet().kill(&remaining[1]);
             }
         }
         "domain_lost" => {
@@ -235,11 +247,11 @@
             }
         }
         "authority_killed" => {
-            let authority = status_of(cluster, "a1", "authority").await?;
+            let authority = read_status(cluster, "a1", "authority").await?;
             cluster.kill(&authority);
-            let alive = if authority == "a1" { "a2" } else { "a1" };
-            if let Ok(own) = some_members(cluster, wanted, alive).await {
-                cluster.fleet().kill(&own[0]);
+            let other_daemon = if authority == "a1" { "a2" } else { "a1" };
+            if let Ok(zone_members) = serving_members(cluster, desired, other_daemon).await {
+                cluster.fleet().kill(&zone_members[0]);
             } else {
                 cluster.fleet().kill(&members[0]);
             }
@@ -247,17 +259,17 @@
         "leader_killed" => cluster.kill(&leader),
         "leader_paused" => {
             cluster.pause(&leader);
-            sample(cluster, wanted, second * 5, sampled).await;
+            sample(cluster, desired, second * 5, sampled).await;
             cluster.resume(&leader);
         }
         "leader_cut_silently" => cluster.set_daemon_links(&leader, FaultMode::Silence),
         "zone_cut" => {
-            cluster.set_zone_links(&far, FaultMode::Silence);
-            sample(cluster, wanted, second * 6, sampled).await;
-            cluster.set_zone_links(&far, FaultMode::Pass);
+            cluster.set_zone_links(&partitioned_zone, FaultMode::Silence);
+            sample(cluster, desired, second * 6, sampled).await;
+            cluster.set_zone_links(&partitioned_zone, FaultMode::Pass);
         }
         "zone_cut_one_way" => {
-            for from in cluster.ids_in(&far) {
+            for from in cluster.ids_in(&partitioned_zone) {
                 for to in cluster.ids().iter().filter(|id| !id.starts_with('c')) {
                     cluster.set_link(&from, to, FaultMode::Silence);
                 }
@@ -270,19 +282,22 @@
                 let command = json!({"change_labels": {"node": *members[0],
                     "set": {"round": number.to_string()}}});
                 let reply = cluster.change("b1", &format!("fill {number}"), &command).await;
-                ensure!(reply.status == 200, "a full disk of one voter stopped the log");
+                ensure!(
+                    reply.status == 200,
+                    "a change was refused while the disk of one voter was full"
+                );
             }
             let fault = cluster.read("a0", "/status").await["fault"].clone();
-            ensure!(fault.is_string(), "the voter with the full disk does not say so: {fault}");
+            ensure!(fault.is_string(), "the voter with the full disk reports no fault: {fault}");
         }
         "leader_cut_and_member_killed" => {
             cluster.set_daemon_links(&leader, FaultMode::Silence);
             cluster.fleet().kill(&members[0]);
         }
         _ => {
-            cluster.set_zone_links(&far, FaultMode::Silence);
-            let own = some_members(cluster, wanted, "c").await?;
-            cluster.fleet().kill(&own[0]);
+            cluster.set_zone_links(&partitioned_zone, FaultMode::Silence);
+            let zone_members = serving_members(cluster, desired, "c").await?;
+            cluster.fleet().kill(&zone_members[0]);
         }
     }
     Ok(())
--- a/crates/measure/src/lives.rs
+++ b/crates/measure/src/lives.rs
@@ -1,5 +1,6 @@
-//! What it costs that a worker's identity holds the start of its life: bytes of messages, memory of
-//! the table of workers and time of a choice, with and without.
+//! Measures the cost of the instance start time in a worker's identity: message sizes, memory of
+//! the worker table and time of a pick, with and without it. Also measures the tables and messages
+//! of backoffs, duplicates, limits and quarantines.
 
 use std::time::{Duration, Instant as WallInstant};
 
@@ -16,36 +17,43 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// Workers at the size that is planned for.
+/// Workers at the target size.
 const WORKERS: u64 = 12_000;
-/// Members of each replica there.
+/// Members of each replica at the target size.
 const REPLICA_SIZE: u64 = 8;
-/// Requests under way at a daemon, ten times those of the size that is planned for.
+/// Requests in flight at a daemon: ten times the number at the target size.
 const REQUESTS: u64 = 10_000;
-/// Times that what is small is made, so that memory which was free before does not hide it.
+/// Factor by which small tables are enlarged, so that their growth is not hidden by memory that
+/// was free before. Their measured memory is divided by it.
 const MEMORY_SCALE: u64 = 50;
-/// Ends of upstreams that are kept, and runs of one request.
-const ENDS: u64 = 1024;
-const RUNS: u64 = 14;
-/// Choices whose mean time is told.
-const PICKS: u32 = 2000;
-/// Workers that name limits.
+/// Terminated runs in the crash ledger, of all requests.
+const TERMINATED_RUNS: u64 = 1024;
+/// Terminated runs of the request whose quarantine is checked.
+const RUNS_OF_REQUEST: u64 = 14;
+/// Iterations over which times are averaged.
+const ITERATIONS: u32 = 2000;
+/// Workers that report limits.
 const LIMITED_WORKERS: u64 = 1000;
-const BORN: u64 = 1_764_720_000_000;
+/// Start time of the first worker, in milliseconds since the Unix epoch.
+const START_TIME_MS: u64 = 1_764_720_000_000;
 
 pub(crate) fn command() -> Command {
-    Command::new("lives").about("Measures what lives of workers cost in messages, memory and time")
+    Command::new("lives").about(
+        "Measures what the start time in worker identities costs in messages, memory and time",
+    )
 }
 
 pub(crate) fn run(_arguments: &ArgMatches) -> anyhow::Result<()> {
-    // Nothing is freed between the cases, so that the memory of each is its own.
-    let mut kept = Vec::new();
-    let (mut kept_tables, mut kept_limiters) = (Vec::new(), Vec::new());
-    for (identity, born) in [("name", false), ("name_and_start", true)] {
-        let reports: Vec<WorkerReport> = (0..WORKERS).map(|n| report(n, born)).collect();
-        let beat = WorkerBeat { id: reports[0].id.clone(), seq: 4000, recount: None, changed: 12 };
+    // All tables are retained until the end, so that no case reuses memory that another one freed.
+    let mut retained = Vec::new();
+    let (mut retained_tables, mut retained_limiters) = (Vec::new(), Vec::new());
+    for (identity, with_start_time) in [("name", false), ("name_and_start", true)] {
+        let reports: Vec<WorkerReport> =
+            (0..WORKERS).map(|n| worker_report(n, with_start_time)).collect();
+        let heartbeat =
+            WorkerBeat { id: reports[0].id.clone(), seq: 4000, recount: None, changed: 12 };
         let heads = reports.iter().step_by(REPLICA_SIZE as usize);
-        let loads: Vec<WorkerLoad> = heads.map(load).collect();
+        let loads: Vec<WorkerLoad> = heads.map(worker_load).collect();
         let before = resident_kb()?;
         let mut picker = WorkerPicker::new(&ZoneId::from("zone-0"));
         picker.merge(reports.clone(), Instant::now());
@@ -53,30 +61,30 @@
         println!(
             "case=lives identity={identity} workers={WORKERS} beat_bytes={} view_bytes={} \
              table_bytes={} table_kb={memory} pick_us={:.1}",
-            bytes_of(&beat)?,
-            bytes_of(&view(loads, Vec::new()))?,
-            bytes_of(&reports)?,
+            encoded_bytes(&heartbeat)?,
+            encoded_bytes(&fleet_view(loads, Vec::new()))?,
+            encoded_bytes(&reports)?,
             pick_us(&mut picker)
         );
-        kept.push((picker, reports));
+        retained.push((picker, reports));
     }
     println!(
         "case=decisions backoff_kb={} copies_kb={} burst_us={:.1}",
-        backoff_kb(&mut kept_tables)?,
-        copies_kb(&mut kept_limiters)?,
-        burst_us()
+        backoff_table_kb(&mut retained_tables)?,
+        duplicate_limiter_kb(&mut retained_limiters)?,
+        quarantine_check_us()
     );
     println!(
         "case=limits view_limits_bytes={} ask_bytes={} grant_bytes={}",
-        bytes_of(&(0..LIMITED_WORKERS).map(limit).collect::<Vec<_>>())?,
-        bytes_of(&ask())?,
-        bytes_of(&grant())?
+        encoded_bytes(&(0..LIMITED_WORKERS).map(upstream_limit).collect::<Vec<_>>())?,
+        encoded_bytes(&permit_ask())?,
+        encoded_bytes(&permit_grant())?
     );
     println!(
         "case=crashes record_bytes={} told_bytes={} held_bytes={}",
-        bytes_of(&crash_record(3))?,
-        bytes_of(&vec![crash_record(3); 16])?,
-        bytes_of(&HeldRequest {
+        encoded_bytes(&crash_record(3))?,
+        encoded_bytes(&vec![crash_record(3); 16])?,
+        encoded_bytes(&HeldRequest {
             request: RequestDigest(u64::MAX),
             left_ms: 100_000,
             released_ms: None
@@ -85,53 +93,57 @@
     Ok(())
 }
 
-/// Memory of a table in which every worker has asked for a backoff.
-fn backoff_kb(kept: &mut Vec<BackoffTable<WorkerId>>) -> anyhow::Result<u64> {
+/// Returns the memory of a table with a backoff of every worker, in kilobytes.
+fn backoff_table_kb(retained: &mut Vec<BackoffTable<WorkerId>>) -> anyhow::Result<u64> {
     let before = resident_kb()?;
     let mut table = BackoffTable::new();
     for number in 0..WORKERS * MEMORY_SCALE {
-        let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+        let worker =
+            WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(START_TIME_MS)));
         table.record_backoff(&worker, Duration::from_secs(3), Instant::now());
     }
-    kept.push(table);
+    retained.push(table);
     Ok(resident_kb()?.saturating_sub(before) / MEMORY_SCALE)
 }
 
-/// Memory of the limiter of a daemon with this many different requests under way.
-fn copies_kb(kept: &mut Vec<DuplicateLimiter>) -> anyhow::Result<u64> {
+/// Returns the memory of a duplicate limiter with [`REQUESTS`] different requests in flight, in
+/// kilobytes.
+fn duplicate_limiter_kb(retained: &mut Vec<DuplicateLimiter>) -> anyhow::Result<u64> {
     let before = resident_kb()?;
     let mut limiter = DuplicateLimiter::new();
     for number in 0..REQUESTS * MEMORY_SCALE {
         limiter.begin(RequestDigest(number), false, Instant::now());
     }
-    kept.push(limiter);
+    retained.push(limiter);
     Ok(resident_kb()?.saturating_sub(before) / MEMORY_SCALE)
 }
 
-/// Time to decide on a request with as many runs as are kept, after as many ends.
-fn burst_us() -> f64 {
+/// Returns the mean time to check the quarantine of a request, in microseconds.
+///
+/// The ledger holds [`TERMINATED_RUNS`] runs, [`RUNS_OF_REQUEST`] of them of this request.
+fn quarantine_check_us() -> f64 {
     let start = Instant::now() + Duration::from_secs(60);
     let mut ledger = CrashLedger::new();
-    for number in 0..ENDS {
+    for number in 0..TERMINATED_RUNS {
         let ended = start + Duration::from_millis(number);
         let run = TerminatedRun { upstream: number, sent: start, ended };
-        let request = if number < RUNS { 0 } else { number };
+        let request = if number < RUNS_OF_REQUEST { 0 } else { number };
         ledger.record_run(RequestDigest(request), run);
     }
-    let begun = WallInstant::now();
-    for _ in 0..PICKS {
+    let started = WallInstant::now();
+    for _ in 0..ITERATIONS {
         std::hint::black_box(ledger.quarantine_left(RequestDigest(0), start));
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(PICKS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
 
-fn bytes_of(message: &impl Serialize) -> anyhow::Result<usize> {
+fn encoded_bytes(message: &impl Serialize) -> anyhow::Result<usize> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes)?;
     Ok(bytes.len())
 }
 
-/// Memory of this process in kilobytes.
+/// Returns the resident memory of this process in kilobytes.
 fn resident_kb() -> anyhow::Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -139,12 +151,15 @@
     Ok(kb.parse()?)
 }
 
-fn report(number: u64, born: bool) -> WorkerReport {
+fn worker_report(number: u64, with_start_time: bool) -> WorkerReport {
     let name = format!("i-{number:010x}");
     let (epoch, rank) = (number / REPLICA_SIZE + 1, number % REPLICA_SIZE);
     let state = if rank == 0 { MembershipState::Open } else { MembershipState::Ready };
     WorkerReport {
-        id: WorkerId::of_instance(&name, born.then_some(Incarnation(BORN + number))),
+        id: WorkerId::of_instance(
+            &name,
+            with_start_time.then_some(Incarnation(START_TIME_MS + number)),
+        ),
         seq: 4000,
         recount: None,
         service: ServiceName("chat".to_owned()),
@@ -165,11 +180,11 @@
     }
 }
 
-fn load(head: &WorkerReport) -> WorkerLoad {
+fn worker_load(head: &WorkerReport) -> WorkerLoad {
     WorkerLoad { worker: head.id.clone(), active: 14, waiting_ms: 40, progress_ms: Some(12) }
 }
 
-fn view(loads: Vec<WorkerLoad>, held: Vec<HeldRequest>) -> FleetView {
+fn fleet_view(loads: Vec<WorkerLoad>, quarantined: Vec<HeldRequest>) -> FleetView {
     FleetView {
         term: Term(3),
         number: 1000,
@@ -178,29 +193,35 @@
         controllers: Vec::new(),
         withheld: Vec::new(),
         loads,
-        held,
+        held: quarantined,
         leader: None,
         limits: Vec::new(),
     }
 }
 
-fn limit(number: u64) -> UpstreamLimit {
-    let worker = WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(BORN)));
+fn upstream_limit(number: u64) -> UpstreamLimit {
+    let worker =
+        WorkerId::of_instance(&format!("i-{number:010x}"), Some(Incarnation(START_TIME_MS)));
     let limit = Some(RequestRate(1800));
     UpstreamLimit { upstream: worker.to_string(), limit, sent_ms: 620, came_ms: 400 }
 }
 
-/// What a gateway tells that has a use for one permit.
-fn ask() -> PermitAsk {
-    let need = PermitNeed { upstream: limit(0).upstream, count: 1, lifetime_ms: 100, returned: 0 };
+/// Returns the message of a gateway that needs one permit.
+fn permit_ask() -> PermitAsk {
+    let need = PermitNeed {
+        upstream: upstream_limit(0).upstream,
+        count: 1,
+        lifetime_ms: 100,
+        returned: 0,
+    };
     PermitAsk { limits: Vec::new(), needs: vec![need] }
 }
 
-/// The answer to that.
-fn grant() -> PermitGrant {
-    let upstream = limit(0).upstream;
+/// Returns the answer to [`permit_ask`].
+fn permit_grant() -> PermitGrant {
+    let upstream = upstream_limit(0).upstream;
     let terms = vec![PermitTerms { upstream, issued: 1, wait_ms: Some(555) }];
-    PermitGrant { limits: vec![limit(0)], terms }
+    PermitGrant { limits: vec![upstream_limit(0)], terms }
 }
 
 fn crash_record(runs: u64) -> CrashRecord {
@@ -212,7 +233,7 @@
     }
 }
 
-/// Mean time of a choice among the heads of all replicas.
+/// Returns the mean time of a pick among the heads of all replicas, in microseconds.
 fn pick_us(picker: &mut WorkerPicker) -> f64 {
     let (service, model, kept) = (service(), ModelName::from("m"), Default::default());
     let facts = PickFacts {
@@ -224,13 +245,13 @@
         permit_wait: PermitWait { left: Duration::ZERO, waiting: false },
     };
     let now = Instant::now();
-    // The first one makes the index of candidates.
+    // The first pick builds the index of candidates and is not timed.
     let _ = picker.pick(&facts, now);
     let start = WallInstant::now();
-    for _ in 0..PICKS {
+    for _ in 0..ITERATIONS {
         let _ = picker.pick(&facts, now);
     }
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(PICKS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ITERATIONS)
 }
 
 fn service() -> Service {
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -1,4 +1,4 @@
-//! A mix of requests like the users', and what became of each.
+//! Generates a mix of requests like the users' and classifies their outcomes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,15 +12,15 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use crate::stats::TimeSeries;
+use crate::stats::DurationHistogram;
 
 /// Tokens of a streamed answer.
 const STREAM_TOKENS: u32 = 40;
-/// Most tries of a request whose answer is not final.
-const MAX_TRIES: u32 = 6;
-/// Distinct long prompts that families share, so that prefixes repeat.
+/// Maximum attempts of a request, the first one included.
+const MAX_ATTEMPTS: u32 = 6;
+/// Number of distinct long prompt prefixes, which requests share so that prefixes repeat.
 const SHARED_PROMPTS: u32 = 24;
-/// Bytes of a shared prompt.
+/// Approximate bytes of a shared prompt prefix.
 const PROMPT_BYTES: usize = 1500;
 
 /// Shares of the kinds of requests, in thousandths.
@@ -29,38 +29,51 @@
     pub(crate) name: &'static str,
     pub(crate) streams: u32,
     pub(crate) reads: u32,
-    pub(crate) holds: u32,
+    pub(crate) reservations: u32,
 }
 
-/// Tábortűz: drafts and answers stream, pitches are looked up, some are held.
+/// Tábortűz: drafts and answers are streamed, pitches are read and some are reserved.
 pub(crate) const TABORTTUZ: LoadMix =
-    LoadMix { name: "taborttuz", streams: 450, reads: 400, holds: 150 };
-/// The Settlement Desk: dispute letters run once, records are looked up by the batch.
+    LoadMix { name: "taborttuz", streams: 450, reads: 400, reservations: 150 };
+/// The Settlement Desk: dispute letters must run at most once, records are read in batches.
 pub(crate) const SETTLEMENT_DESK: LoadMix =
-    LoadMix { name: "settlement_desk", streams: 250, reads: 500, holds: 250 };
+    LoadMix { name: "settlement_desk", streams: 250, reads: 500, reservations: 250 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallKind {
+    /// Streamed completion.
     Stream,
+    /// Repeatable read.
     Read,
-    Hold,
+    /// Reservation, which must run at most once and carries an idempotency key.
+    Reserve,
 }
 
-/// What callers were told, over a whole run.
+/// Outcomes that callers observed over a run.
 #[derive(Debug)]
 pub(crate) struct LoadOutcome {
+    /// Requests with a complete and correct answer.
     pub(crate) ok: u64,
+    /// Requests whose last answer reports that they did not run.
     pub(crate) not_run: u64,
+    /// Requests that failed with an error after they ran or may have run.
     pub(crate) unknown: u64,
+    /// Requests whose last answer does not report whether they ran.
     pub(crate) lost: u64,
-    pub(crate) crossed: u64,
-    pub(crate) short: u64,
-    pub(crate) resent: u64,
-    pub(crate) urgent: TimeSeries,
-    pub(crate) first_token: TimeSeries,
-    pub(crate) token_gap: TimeSeries,
+    /// Requests that got the answer of another request.
+    pub(crate) mismatched: u64,
+    /// Streams that lack tokens although the answer is complete and reports no error.
+    pub(crate) truncated: u64,
+    /// Retries of all requests.
+    pub(crate) retries: u64,
+    /// Duration of the last attempt of each request that is not streamed.
+    pub(crate) unary_latency: DurationHistogram,
+    pub(crate) first_token: DurationHistogram,
+    pub(crate) token_gap: DurationHistogram,
+    /// Tokens of complete streams.
     pub(crate) tokens: u64,
-    holds: BTreeMap<String, Vec<CallReply>>,
+    /// Replies to each reservation by idempotency key.
+    reservations: BTreeMap<String, Vec<CallReply>>,
 }
 
 impl LoadOutcome {
@@ -70,119 +83,120 @@
             not_run: 0,
             unknown: 0,
             lost: 0,
-            crossed: 0,
-            short: 0,
-            resent: 0,
-            urgent: TimeSeries::new(),
-            first_token: TimeSeries::new(),
-            token_gap: TimeSeries::new(),
+            mismatched: 0,
+            truncated: 0,
+            retries: 0,
+            unary_latency: DurationHistogram::new(),
+            first_token: DurationHistogram::new(),
+            token_gap: DurationHistogram::new(),
             tokens: 0,
-            holds: BTreeMap::new(),
+            reservations: BTreeMap::new(),
         }
     }
 
-    /// Holds that ran twice, and holds that ran although callers were only told otherwise.
-    pub(crate) fn check_holds(&self, history: &RunHistory) -> (u64, u64) {
+    /// Counts the reservations that ran more than once, and those that ran although every reply
+    /// reported `not_run`.
+    pub(crate) fn check_reservations(&self, history: &RunHistory) -> (u64, u64) {
         let counts = history.counts();
-        let mut doubled = 0;
-        let mut false_not_run = 0;
-        for (key, replies) in &self.holds {
+        let mut run_twice = 0;
+        let mut falsely_not_run = 0;
+        for (key, replies) in &self.reservations {
             let runs = counts.get(key).copied().unwrap_or(0);
-            doubled += u64::from(runs > 1);
-            let denied = replies.iter().all(|reply| reply.ran() == "not_run");
-            false_not_run += u64::from(denied && runs > 0);
+            run_twice += u64::from(runs > 1);
+            let reported_not_run = replies.iter().all(|reply| reply.ran() == "not_run");
+            falsely_not_run += u64::from(reported_not_run && runs > 0);
         }
-        (doubled, false_not_run)
+        (run_twice, falsely_not_run)
     }
 }
 
-/// How a load is driven.
+/// Parameters of a generated load.
 #[derive(Clone)]
 pub(crate) struct LoadPlan {
     pub(crate) mix: LoadMix,
-    pub(crate) doors: Vec<SocketAddr>,
+    pub(crate) targets: Vec<SocketAddr>,
     pub(crate) rate: f64,
     pub(crate) time: Duration,
     pub(crate) seed: u64,
 }
 
-/// Drives a load and returns what became of it, once every request has ended.
-pub(crate) async fn drive(plan: LoadPlan) -> LoadOutcome {
+/// Sends a load and returns its outcome once every request has finished.
+pub(crate) async fn generate_load(plan: LoadPlan) -> LoadOutcome {
     let outcome = Arc::new(Mutex::new(LoadOutcome::new()));
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut tasks = Vec::new();
-    let mut due = begun;
+    let mut due = started;
     for number in 0_u64.. {
-        if begun.elapsed() >= plan.time {
+        if started.elapsed() >= plan.time {
             break;
         }
-        // Arrivals are independent of each other, as callers' are.
+        // The gaps are exponential, because callers send independently of each other.
         let gap = -rng.random_range(f64::EPSILON..1.0).ln() / plan.rate;
         due += Duration::from_secs_f64(gap);
         tokio::time::sleep_until(due).await;
-        let drawn = rng.random_range(0..1000);
-        let kind = if drawn < plan.mix.streams {
+        let draw = rng.random_range(0..1000);
+        let kind = if draw < plan.mix.streams {
             CallKind::Stream
-        } else if drawn < plan.mix.streams + plan.mix.reads {
+        } else if draw < plan.mix.streams + plan.mix.reads {
             CallKind::Read
         } else {
-            CallKind::Hold
+            CallKind::Reserve
         };
-        let first = rng.random_range(0..plan.doors.len());
+        let first = rng.random_range(0..plan.targets.len());
         let shared = rng.random_range(0..SHARED_PROMPTS);
         let outcome = Arc::clone(&outcome);
-        let doors = plan.doors.clone();
+        let targets = plan.targets.clone();
         let key = format!("{}-{}-{number}", plan.mix.name, plan.seed);
         tasks.push(tokio::spawn(async move {
-            run_call(kind, &key, shared, &doors, first, &outcome).await;
+            run_call(kind, &key, shared, &targets, first, &outcome).await;
         }));
     }
     for task in tasks {
         let _ = task.await;
     }
-    let outcome = Arc::try_unwrap(outcome).expect("every task has ended");
+    let outcome = Arc::try_unwrap(outcome).expect("every task has finished");
     outcome.into_inner().expect("no holder of the lock panics")
 }
 
-fn prompt_of(key: &str, shared: u32) -> String {
-    let opening = format!("site {shared} ").repeat(PROMPT_BYTES / 8);
-    format!("{opening} question {key}")
+fn build_prompt(key: &str, shared: u32) -> String {
+    let prefix = format!("site {shared} ").repeat(PROMPT_BYTES / 8);
+    format!("{prefix} question {key}")
 }
 
-fn make_call(kind: CallKind, key: &str, shared: u32) -> CallerCall {
+fn build_call(kind: CallKind, key: &str, shared: u32) -> CallerCall {
     match kind {
         CallKind::Stream => {
             let body = json!({"model": "m", "stream": true, "max_tokens": STREAM_TOKENS,
-                "prompt": prompt_of(key, shared)});
+                "prompt": build_prompt(key, shared)});
             CallerCall::new(Method::POST, "/v1/completions", CALLER_KEY)
                 .with_body(&body.to_string())
                 .with_timeout(Duration::from_secs(20))
         }
         CallKind::Read => CallerCall::new(Method::GET, &format!("/pitches/{key}"), CALLER_KEY)
             .with_timeout(Duration::from_secs(5)),
-        CallKind::Hold => CallerCall::new(Method::POST, "/holds/7", CALLER_KEY)
+        CallKind::Reserve => CallerCall::new(Method::POST, "/holds/7", CALLER_KEY)
             .with_header("idempotency-key", key)
             .with_timeout(Duration::from_secs(9))
             .with_body("{}"),
     }
 }
 
-/// Makes a call, and makes it again through another door as a careful caller would.
+/// Sends a call and retries it at other targets until it succeeds or the attempts are used up.
 async fn run_call(
     kind: CallKind,
     key: &str,
     shared: u32,
-    doors: &[SocketAddr],
+    targets: &[SocketAddr],
     first: usize,
     outcome: &Mutex<LoadOutcome>,
 ) {
-    let call = make_call(kind, key, shared);
+    let call = build_call(kind, key, shared);
     let mut replies = Vec::new();
-    for attempt in 0..MAX_TRIES {
-        let door = doors[(first + attempt as usize * 4) % doors.len()];
-        let reply = call.send(door).await;
-        // A caller sees from the framing that an answer was cut off, and asks again.
+    for attempt in 0..MAX_ATTEMPTS {
+        let target = targets[(first + attempt as usize * 4) % targets.len()];
+        let reply = call.send(target).await;
+        // The framing shows the caller that an answer was truncated, so the caller retries.
         let done = reply.status == 200 && reply.whole;
         replies.push(reply);
         if done {
@@ -191,10 +205,10 @@
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     let mut outcome = outcome.lock().expect("no holder of the lock panics");
-    note_replies(kind, key, shared, replies, &mut outcome);
+    record_replies(kind, key, shared, replies, &mut outcome);
 }
 
-fn note_replies(
+fn record_replies(
     kind: CallKind,
     key: &str,
     shared: u32,
@@ -202,62 +216,62 @@
     outcome: &mut LoadOutcome,
 ) {
     let Some(last) = replies.last() else { return };
-    outcome.resent += replies.len() as u64 - 1;
+    outcome.retries += replies.len() as u64 - 1;
     if last.status == 200 && last.whole {
-        judge_answer(kind, key, shared, last, outcome);
+        classify_answer(kind, key, shared, last, outcome);
     } else {
         match last.ran().as_str() {
             "not_run" => outcome.not_run += 1,
             "unknown" | "ran" => outcome.unknown += 1,
-            // No answer at all, although a door had taken the connection.
+            // No answer, or an answer that does not report whether the request ran.
             _ => outcome.lost += 1,
         }
     }
     if kind != CallKind::Stream {
-        outcome.urgent.note(last.total);
+        outcome.unary_latency.record(last.total);
     }
-    if kind == CallKind::Hold {
-        outcome.holds.insert(key.to_owned(), replies);
+    if kind == CallKind::Reserve {
+        outcome.reservations.insert(key.to_owned(), replies);
     }
 }
 
-fn judge_answer(
+fn classify_answer(
     kind: CallKind,
     key: &str,
     shared: u32,
     reply: &CallReply,
     outcome: &mut LoadOutcome,
 ) {
-    let own = match kind {
-        CallKind::Hold | CallKind::Read => reply.body.contains(key),
+    let matches_request = match kind {
+        CallKind::Reserve | CallKind::Read => reply.body.contains(key),
         CallKind::Stream => {
             let (tokens, done) = reply.tokens();
-            let prompt = prompt_of(key, shared);
+            let prompt = build_prompt(key, shared);
             let expected: Vec<String> =
                 (0..tokens.len() as u32).map(|index| expected_token(&prompt, index)).collect();
-            let whole = done && tokens.len() == STREAM_TOKENS as usize;
+            let complete = done && tokens.len() == STREAM_TOKENS as usize;
             let failed = reply.body.contains("\"error\"");
-            if !whole && failed {
-                // The caller was told that its answer broke off.
+            if !complete && failed {
+                // The stream reported an error, so the caller knows that the answer is truncated.
                 outcome.unknown += 1;
                 return;
             }
-            if !whole {
-                outcome.short += 1;
+            if !complete {
+                outcome.truncated += 1;
                 return;
             }
             outcome.tokens += u64::from(STREAM_TOKENS);
             if let Some(first) = reply.first {
-                outcome.first_token.note(first);
+                outcome.first_token.record(first);
             }
             for pair in reply.pieces.windows(2) {
-                outcome.token_gap.note(pair[1] - pair[0]);
+                outcome.token_gap.record(pair[1] - pair[0]);
             }
             tokens == expected
         }
     };
-    if !own {
-        outcome.crossed += 1;
+    if !matches_request {
+        outcome.mismatched += 1;
     } else {
         outcome.ok += 1;
     }
--- a/crates/measure/src/main.rs
+++ b/crates/measure/src/main.rs
@@ -1,7 +1,7 @@
-//! Measures the product against naive versions and its budgets.
+//! Measures hollowbarrow against baseline implementations and capacity budgets.
 //!
-//! Each subcommand prints one line of `key=value` pairs for each case, and
-//! nothing is printed that was not measured in the same run.
+//! Each subcommand prints one line of `key=value` pairs per case. Every printed
+//! value comes from the same run.
 
 mod capacity;
 mod capacity_clusters;
--- a/crates/measure/src/requests.rs
+++ b/crates/measure/src/requests.rs
@@ -1,4 +1,4 @@
-//! Requests under faults: what callers are told, held against what ran.
+//! Measures requests under faults: compares the answers to callers with the requests that ran.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use hollowbarrow_testkit::{Cluster, ClusterConfig, FaultMode, FleetConfig, ModelConfig};
 use serde_json::json;
 
-use crate::load::{LoadMix, LoadOutcome, LoadPlan, SETTLEMENT_DESK, TABORTTUZ, drive};
-use crate::stats::process_use;
+use crate::load::{LoadMix, LoadOutcome, LoadPlan, SETTLEMENT_DESK, TABORTTUZ, generate_load};
+use crate::stats::process_usage;
 
-/// How long each case is loaded.
+/// Duration of the load of each case.
 const LOAD_TIME: Duration = Duration::from_secs(10);
-/// When the fault comes.
+/// Time from the start of the load to the fault.
 const FAULT_AT: Duration = Duration::from_secs(3);
-/// When the fault ends, where it does.
+/// Time from the start of the load to the end of the fault, for faults that end.
 const FAULT_END: Duration = Duration::from_secs(7);
-/// Places of each door in the case in which streams fill them.
-const FEW_PLACES: u32 = 10;
-/// Places of each door otherwise.
-const MANY_PLACES: u32 = 512;
-/// Requests a second over all doors.
+/// Limit of concurrent streams of each gateway in the case that saturates it.
+const FEW_STREAMS: u32 = 10;
+/// Limit of concurrent streams of each gateway in the other cases.
+const MANY_STREAMS: u32 = 512;
+/// Requests per second over all gateways.
 const RATE: f64 = 120.0;
 
 const CASES: &[&str] = &[
@@ -46,17 +46,17 @@
 }
 
 pub(crate) fn run(arguments: &ArgMatches) -> Result<()> {
-    let only = arguments.get_one::<String>("case").map(String::as_str);
+    let selected_case = arguments.get_one::<String>("case").map(String::as_str);
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        for case in CASES.iter().filter(|case| only.is_none_or(|only| only == **case)) {
+        for case in CASES.iter().filter(|case| selected_case.is_none_or(|name| name == **case)) {
             let runs = [TABORTTUZ, SETTLEMENT_DESK].map(|mix| tokio::spawn(run_case(case, mix)));
             for run in runs {
                 println!("{}", run.await??);
             }
         }
-        if only.is_none() {
-            println!("{}", measure_door().await?);
+        if selected_case.is_none() {
+            println!("{}", measure_ingress().await?);
         }
         Ok(())
     })
@@ -66,13 +66,13 @@
     ModelConfig { token: Duration::from_millis(20), ..ModelConfig::default() }
 }
 
-async fn start_cluster(count: u32, model: ModelConfig, places: u32) -> Result<Cluster> {
+async fn start_cluster(count: u32, model: ModelConfig, max_streams: u32) -> Result<Cluster> {
     let zones = ["a", "b", "c"].map(ZoneId::from);
     let fleet = FleetConfig::new(&zones, 2, 4).with_model(model);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
-    let program = std::env::current_exe().context("the measurement knows its own program")?;
+    let program = std::env::current_exe().context("the path of this program is known")?;
     let config = ClusterConfig::new(&program, &["daemon"], &counts, fleet)
-        .with_limits(json!({"streams": places}));
+        .with_limits(json!({"streams": max_streams}));
     let cluster = Cluster::start(config);
     cluster.wait_ready().await;
     cluster.label_all_nodes().await;
@@ -82,62 +82,66 @@
     let reply = cluster.change("b1", "group", &group).await;
     ensure!(reply.status == 200, "the group was refused: {}", reply.body);
     for id in cluster.ids() {
-        ensure!(cluster.wait_serving(&id, "drafts", u64::from(count)).await, "it does not serve");
+        ensure!(
+            cluster.wait_serving(&id, "drafts", u64::from(count)).await,
+            "not all replicas of the group serve"
+        );
     }
-    // The claims' log has its clock after a moment.
+    // The claims log needs a moment after its start until its clock is established.
     tokio::time::sleep(Duration::from_secs(1)).await;
     Ok(cluster)
 }
 
 async fn run_case(case: &'static str, mix: LoadMix) -> Result<String> {
     let saturated = case == "door_saturated";
-    let places = if saturated { FEW_PLACES } else { MANY_PLACES };
-    let mut cluster = start_cluster(6, slow_engine(), places).await?;
-    let doubled = saturated || case == "load_doubled";
-    let rate = if doubled { RATE * 2.0 } else { RATE };
-    let doors: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
-    let naive = naive_doors(&cluster).await?;
-    let plan = LoadPlan { mix, doors, rate, time: LOAD_TIME, seed: 7 };
-    let load = tokio::spawn(drive(plan.clone()));
+    let max_streams = if saturated { FEW_STREAMS } else { MANY_STREAMS };
+    let mut cluster = start_cluster(6, slow_engine(), max_streams).await?;
+    let double_rate = saturated || case == "load_doubled";
+    let rate = if double_rate { RATE * 2.0 } else { RATE };
+    let ingresses: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let baseline_targets = find_baseline_targets(&cluster).await?;
+    let plan = LoadPlan { mix, targets: ingresses, rate, time: LOAD_TIME, seed: 7 };
+    let load = tokio::spawn(generate_load(plan.clone()));
     tokio::time::sleep(FAULT_AT).await;
-    inflict(&mut cluster, case).await?;
+    inject_fault(&mut cluster, case).await?;
     tokio::time::sleep(FAULT_END - FAULT_AT).await;
-    relieve(&mut cluster, case).await;
+    clear_fault(&mut cluster, case).await;
     let outcome = load.await?;
-    let (doubled, false_not_run) = outcome.check_holds(cluster.fleet().history());
+    let (run_twice, falsely_not_run) = outcome.check_reservations(cluster.fleet().history());
     let incomplete =
         cluster.fleet().history().to_vec().iter().filter(|run| run.missing_ms > 900).count();
     let late = cluster.fleet().history().to_vec().iter().filter(|run| run.late).count();
-    // The naive way is measured under the same kind of fault, on a fresh cluster's upstreams.
-    let naive = run_naive(case, mix, &cluster, naive).await;
+    // The baseline runs afterwards on the upstreams of the same cluster: killed ones are still
+    // down, and for the case of a paused upstream one is paused again.
+    let baseline = run_baseline(case, mix, &cluster, baseline_targets).await;
     Ok(format!(
-        "case={case} mix={} ok={} not_run={} unknown={} resent={} doubled={doubled} lost={} crossed={} short={} \
-         false_not_run={false_not_run} late_dispatch={late} served_incomplete={incomplete} \
+        "case={case} mix={} ok={} not_run={} unknown={} resent={} doubled={run_twice} lost={} crossed={} short={} \
+         false_not_run={falsely_not_run} late_dispatch={late} served_incomplete={incomplete} \
          urgent_p99_ms={:.1} ttft_p95_ms={:.1} itl_p95_ms={:.1} naive_ok={} naive_lost={} naive_short={} \
          naive_urgent_p99_ms={:.1} naive_ttft_p95_ms={:.1}",
         mix.name,
         outcome.ok,
         outcome.not_run,
         outcome.unknown,
-        outcome.resent,
+        outcome.retries,
         outcome.lost,
-        outcome.crossed,
-        outcome.short,
-        outcome.urgent.quantile_ms(0.99),
+        outcome.mismatched,
+        outcome.truncated,
+        outcome.unary_latency.quantile_ms(0.99),
         outcome.first_token.quantile_ms(0.95),
         outcome.token_gap.quantile_ms(0.95),
-        naive.ok,
-        naive.lost,
-        naive.short + naive.crossed,
-        naive.urgent.quantile_ms(0.99),
-        naive.first_token.quantile_ms(0.95),
+        baseline.ok,
+        baseline.lost,
+        baseline.truncated + baseline.mismatched,
+        baseline.unary_latency.quantile_ms(0.99),
+        baseline.first_token.quantile_ms(0.95),
     ))
 }
 
-async fn inflict(cluster: &mut Cluster, case: &str) -> Result<()> {
+async fn inject_fault(cluster: &mut Cluster, case: &str) -> Result<()> {
     match case {
-        "upstream_killed" => cluster.fleet().kill(&head_in(cluster, "a").await?),
-        "upstream_paused" => cluster.fleet().pause(&head_in(cluster, "a").await?),
+        "upstream_killed" => cluster.fleet().kill(&head_in_zone(cluster, "a").await?),
+        "upstream_paused" => cluster.fleet().pause(&head_in_zone(cluster, "a").await?),
         "service_killed" => cluster.fleet().kill(&NodeId::from("a-app0")),
         "entry_killed" => cluster.kill("b1"),
         "entry_paused" => cluster.pause("b1"),
@@ -153,7 +157,7 @@
     Ok(())
 }
 
-async fn relieve(cluster: &mut Cluster, case: &str) {
+async fn clear_fault(cluster: &mut Cluster, case: &str) {
     match case {
         "upstream_paused" => {
             for node in cluster.fleet().model_nodes() {
@@ -167,20 +171,20 @@
     }
 }
 
-async fn head_in(cluster: &Cluster, zone: &str) -> Result<NodeId> {
+async fn head_in_zone(cluster: &Cluster, zone: &str) -> Result<NodeId> {
     let replicas = cluster.serving_replicas(&format!("{zone}1"), "drafts").await;
-    let own = replicas.into_iter().find(|(of, _)| of == zone);
-    let (_, members) = own.context("no replica serves in the zone")?;
+    let local_replica = replicas.into_iter().find(|(replica_zone, _)| replica_zone == zone);
+    let (_, members) = local_replica.context("no replica serves in the zone")?;
     Ok(NodeId::from(members[0].as_str()))
 }
 
-/// Upstreams as a naive caller would know them: all heads and services, once and for all.
-struct NaiveDoors {
+/// Upstreams of the baseline: all heads and services, looked up once before the fault.
+struct BaselineTargets {
     heads: Vec<SocketAddr>,
     services: Vec<SocketAddr>,
 }
 
-async fn naive_doors(cluster: &Cluster) -> Result<NaiveDoors> {
+async fn find_baseline_targets(cluster: &Cluster) -> Result<BaselineTargets> {
     let replicas = cluster.serving_replicas("a1", "drafts").await;
     let heads = replicas
         .iter()
@@ -188,70 +192,84 @@
         .collect();
     let services = cluster.fleet().service_nodes();
     let services = services.iter().filter_map(|node| cluster.fleet().address(node)).collect();
-    Ok(NaiveDoors { heads, services })
+    Ok(BaselineTargets { heads, services })
 }
 
-/// The same load sent straight to upstreams drawn at random, with plain resends.
-async fn run_naive(case: &str, mix: LoadMix, cluster: &Cluster, doors: NaiveDoors) -> LoadOutcome {
+/// Sends the same mix directly to randomly drawn upstreams, with plain retries.
+async fn run_baseline(
+    case: &str,
+    mix: LoadMix,
+    cluster: &Cluster,
+    targets: BaselineTargets,
+) -> LoadOutcome {
     let rate = if case == "load_doubled" { RATE * 2.0 } else { RATE };
     let share = |thousandths: u32| rate * f64::from(thousandths) / 1000.0;
     let time = Duration::from_secs(4);
-    let streams = LoadMix { name: "naive_streams", streams: 1000, reads: 0, holds: 0 };
-    let reads = LoadMix { name: "naive_reads", streams: 0, reads: 1000, holds: 0 };
+    let streams = LoadMix { name: "naive_streams", streams: 1000, reads: 0, reservations: 0 };
+    let reads = LoadMix { name: "naive_reads", streams: 0, reads: 1000, reservations: 0 };
     if case == "upstream_paused"
         && let Some(node) = cluster.fleet().model_nodes().first()
     {
         cluster.fleet().pause(node);
     }
-    let streaming = tokio::spawn(drive(LoadPlan {
+    let streaming = tokio::spawn(generate_load(LoadPlan {
         mix: streams,
-        doors: doors.heads,
+        targets: targets.heads,
         rate: share(mix.streams),
         time,
         seed: 8,
     }));
-    let reading = drive(LoadPlan {
+    let reading = generate_load(LoadPlan {
         mix: reads,
-        doors: doors.services,
-        rate: share(mix.reads + mix.holds),
+        targets: targets.services,
+        rate: share(mix.reads + mix.reservations),
         time,
         seed: 9,
     })
     .await;
-    let mut outcome = streaming.await.expect("the load's task ends");
+    let mut outcome = streaming.await.expect("the load task does not panic");
     outcome.ok += reading.ok;
     outcome.lost += reading.lost;
-    outcome.urgent = reading.urgent;
+    outcome.unary_latency = reading.unary_latency;
     outcome
 }
 
-/// What the door adds, and what one core carries.
-async fn measure_door() -> Result<String> {
-    let cluster = start_cluster(3, ModelConfig::default(), MANY_PLACES).await?;
-    let direct = naive_doors(&cluster).await?.services[0];
-    let door = cluster.callers("a1");
-    let reads = LoadMix { name: "door_reads", streams: 0, reads: 1000, holds: 0 };
+/// Measures the latency that the ingress adds, and its throughput per core.
+async fn measure_ingress() -> Result<String> {
+    let cluster = start_cluster(3, ModelConfig::default(), MANY_STREAMS).await?;
+    let direct = find_baseline_targets(&cluster).await?.services[0];
+    let ingress = cluster.callers("a1");
+    let reads = LoadMix { name: "door_reads", streams: 0, reads: 1000, reservations: 0 };
     let time = Duration::from_secs(6);
-    let plan = |doors, rate, seed| LoadPlan { mix: reads, doors, rate, time, seed };
-    let straight = drive(plan(vec![direct], 100.0, 1)).await;
-    let through = drive(plan(vec![door], 100.0, 2)).await;
+    let plan = |targets, rate, seed| LoadPlan { mix: reads, targets, rate, time, seed };
+    let direct_outcome = generate_load(plan(vec![direct], 100.0, 1)).await;
+    let ingress_outcome = generate_load(plan(vec![ingress], 100.0, 2)).await;
     let pid = cluster.pid("a1").context("a1 runs")?;
-    let (before, _) = process_use(pid).context("the process can be read")?;
-    let heavy = drive(plan(vec![door], 2000.0, 3)).await;
-    let (between, _) = process_use(pid).context("the process can be read")?;
-    let streams = LoadMix { name: "door_streams", streams: 1000, reads: 0, holds: 0 };
-    let streamed =
-        drive(LoadPlan { mix: streams, doors: vec![door], rate: 250.0, time, seed: 4 }).await;
-    let (after, memory) = process_use(pid).context("the process can be read")?;
-    let (direct_ms, door_ms) = (straight.urgent.quantile_ms(0.5), through.urgent.quantile_ms(0.5));
+    let (before, _) = process_usage(pid).context("the usage of a1 can be read")?;
+    let heavy = generate_load(plan(vec![ingress], 2000.0, 3)).await;
+    let (between, _) = process_usage(pid).context("the usage of a1 can be read")?;
+    let streams = LoadMix { name: "door_streams", streams: 1000, reads: 0, reservations: 0 };
+    let streamed = generate_load(LoadPlan {
+        mix: streams,
+        targets: vec![ingress],
+        rate: 250.0,
+        time,
+        seed: 4,
+    })
+    .await;
+    let (after, memory) = process_usage(pid).context("the usage of a1 can be read")?;
+    let (direct_ms, ingress_ms) = (
+        direct_outcome.unary_latency.quantile_ms(0.5),
+        ingress_outcome.unary_latency.quantile_ms(0.5),
+    );
     Ok(format!(
-        "case=door direct_p50_ms={direct_ms:.2} door_p50_ms={door_ms:.2} ratio={:.2} added_ms={:.2} \
+        "case=door direct_p50_ms={direct_ms:.2} door_p50_ms={ingress_ms:.2} ratio={:.2} added_ms={:.2} \
          direct_p99_ms={:.2} door_p99_ms={:.2} requests_per_core_s={:.0} tokens_per_core_s={:.0} \
          resident_mb={:.1} failed={}",
-        door_ms / direct_ms,
-        door_ms - direct_ms,
-        straight.urgent.quantile_ms(0.99),
-        through.urgent.quantile_ms(0.99),
+        ingress_ms / direct_ms,
+        ingress_ms - direct_ms,
+        direct_outcome.unary_latency.quantile_ms(0.99),
+        ingress_outcome.unary_latency.quantile_ms(0.99),
         heavy.ok as f64 / (between - before),
         streamed.tokens as f64 / (after - between),
         memory as f64 / f64::from(1 << 20),
--- a/crates/measure/src/stats.rs
+++ b/crates/measure/src/stats.rs
@@ -1,35 +1,35 @@
-//! Small statistics.
+//! Latency histograms, line fitting and process resource usage.
 
 use hdrhistogram::Histogram;
 
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1000.0;
 
-/// Times, kept as a histogram in microseconds.
+/// Durations, stored as a histogram in microseconds.
 #[derive(Clone, Debug)]
-pub(crate) struct TimeSeries {
+pub(crate) struct DurationHistogram {
     histogram: Histogram<u64>,
 }
 
-impl TimeSeries {
+impl DurationHistogram {
     pub(crate) fn new() -> Self {
-        let histogram = Histogram::new(3).expect("three digits are allowed");
+        let histogram = Histogram::new(3).expect("a histogram supports three significant digits");
         Self { histogram }
     }
 
-    pub(crate) fn note(&mut self, time: std::time::Duration) {
-        let us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX).max(1);
-        // The histogram grows as it must, so only a value beyond 64 bits could be refused.
-        let _ = self.histogram.record(us);
+    pub(crate) fn record(&mut self, duration: std::time::Duration) {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX).max(1);
+        // The histogram resizes automatically, so recording cannot fail for a 64-bit value.
+        let _ = self.histogram.record(micros);
     }
 
-    /// Quantile in milliseconds, 0 where nothing was noted.
+    /// Returns a quantile in milliseconds, or 0 if nothing was recorded.
     pub(crate) fn quantile_ms(&self, quantile: f64) -> f64 {
         self.histogram.value_at_quantile(quantile) as f64 / US_PER_MS
     }
 }
 
-/// Slope and intercept of the least-squares line through points.
+/// Returns the slope and intercept of the least-squares line through the points.
 pub(crate) fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -40,22 +40,22 @@
     (slope, mean_y - slope * mean_x)
 }
 
-/// Smallest, median and largest of some runs.
-pub(crate) fn spread(runs: &[f64]) -> (f64, f64, f64) {
+/// Returns the smallest, median and largest value of the runs.
+pub(crate) fn min_median_max(runs: &[f64]) -> (f64, f64, f64) {
     let mut sorted = runs.to_vec();
     sorted.sort_by(f64::total_cmp);
     let last = sorted.len().saturating_sub(1);
     (sorted[0], sorted[last / 2], sorted[last])
 }
 
-/// Processor time of a process so far, in seconds, and its resident memory in bytes.
-pub(crate) fn process_use(pid: u32) -> Option<(f64, u64)> {
+/// Returns the CPU time that a process has used, in seconds, and its resident memory in bytes.
+pub(crate) fn process_usage(pid: u32) -> Option<(f64, u64)> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
     let ticks: f64 = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     let kilobytes: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
-    // The kernel counts in hundredths of a second on every machine this runs on.
+    // `/proc/PID/stat` counts in clock ticks of 10 ms (USER_HZ is 100).
     Some((ticks / 100.0, kilobytes * 1024))
 }
--- a/crates/schemagen/src/main.rs
+++ b/crates/schemagen/src/main.rs
@@ -1,8 +1,8 @@
 //! Generates `crates/schema/src/generated.rs` from `schema/hollowbarrow.json`.
 //!
-//! This is a developer's tool: its output is committed, so that building the
-//! product needs no generator. With `--check` it compares instead of writing
-//! and exits with a failure when the committed file is out of date.
+//! The output is committed, so that building the product does not need this
+//! tool. With `--check` it compares the committed file with the output instead
+//! of writing it, and exits with a failure if the file is out of date.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 const HEADER: &str = "// Generated from schema/hollowbarrow.json by hollowbarrow-schemagen. \
                       Do not edit.\n\n";
 
-/// Types that hold floating-point numbers and therefore have no total equality.
+/// Types that contain floating-point numbers and therefore cannot implement `Eq`.
 const WITHOUT_EQ: &[&str] =
     &["OrganisationUse", "ObserverDigest", "PeerMessage", "OrganisationSettings", "Settings"];
 
@@ -35,13 +35,13 @@
     ExitCode::SUCCESS
 }
 
-/// Renders every definition of the schema as formatted Rust.
+/// Renders all definitions of the schema as formatted Rust.
 fn render_types(text: &str) -> String {
-    let mut plain: Value = serde_json::from_str(text).expect("the schema is JSON");
-    let definitions = plain["definitions"].clone();
-    prepare_rule(&mut plain, &definitions);
+    let mut document: Value = serde_json::from_str(text).expect("the schema is JSON");
+    let definitions = document["definitions"].clone();
+    prepare_schema(&mut document, &definitions);
     let schema: schemars::schema::RootSchema =
-        serde_json::from_value(plain).expect("the schema is JSON Schema");
+        serde_json::from_value(document).expect("the schema is JSON Schema");
     let mut settings = typify::TypeSpaceSettings::default();
     settings.with_map_type("::std::collections::BTreeMap".to_string());
     let names: Vec<String> = schema.definitions.keys().cloned().collect();
@@ -67,11 +67,11 @@
 
 /// Prepares the schema for the generator.
 ///
-/// A default of `{}` is written out in full, because the generator would fill
-/// the fields that it does not name with zeros; and a minimum of 1 becomes 0,
-/// because the check of settings enforces it and plain integers read better.
-fn prepare_rule(rule: &mut Value, definitions: &Value) {
-    match rule {
+/// A default of `{}` is expanded to all properties, because the generator would
+/// set the missing fields to zero. A minimum of 1 becomes 0, so that the
+/// generator emits plain integers; the validation of settings enforces it.
+fn prepare_schema(schema: &mut Value, definitions: &Value) {
+    match schema {
         Value::Object(fields) => {
             if fields.get("minimum").and_then(Value::as_u64) == Some(1) {
                 fields.insert("minimum".to_owned(), Value::from(0));
@@ -80,52 +80,52 @@
             if let (Some(target), Some(Value::Object(default))) = (target, fields.get("default"))
                 && default.is_empty()
             {
-                let full = default_of(target, definitions);
-                fields.insert("default".to_owned(), full);
+                let expanded = expand_default(target, definitions);
+                fields.insert("default".to_owned(), expanded);
             }
-            fields.values_mut().for_each(|value| prepare_rule(value, definitions));
+            fields.values_mut().for_each(|value| prepare_schema(value, definitions));
         }
         Value::Array(values) => {
-            values.iter_mut().for_each(|value| prepare_rule(value, definitions));
+            values.iter_mut().for_each(|value| prepare_schema(value, definitions));
         }
         _ => {}
     }
 }
 
-/// The default of a definition's object, each of its properties written out.
-fn default_of(reference: &str, definitions: &Value) -> Value {
+/// Returns the default of an object definition with all its properties.
+fn expand_default(reference: &str, definitions: &Value) -> Value {
     let definition = &definitions[reference.trim_start_matches("#/definitions/")];
-    let mut full = serde_json::Map::new();
+    let mut expanded = serde_json::Map::new();
     for (name, property) in definition["properties"].as_object().into_iter().flatten() {
         let target = property["allOf"][0]["$ref"].as_str();
         let value = match (target, property.get("default")) {
             (Some(target), Some(Value::Object(default))) if default.is_empty() => {
-                default_of(target, definitions)
+                expand_default(target, definitions)
             }
             (_, Some(default)) => default.clone(),
             (_, None) => continue,
         };
-        full.insert(name.clone(), value);
+        expanded.insert(name.clone(), value);
     }
-    Value::Object(full)
+    Value::Object(expanded)
 }
 
-/// Leaves out the copies of the schema that the generator puts into doc comments.
+/// Removes the copies of the schema that the generator puts into doc comments.
 fn strip_schema_copies(rendered: &str) -> String {
-    let mut inside = false;
-    let mut kept = String::with_capacity(rendered.len());
+    let mut in_details = false;
+    let mut output = String::with_capacity(rendered.len());
     for line in rendered.lines() {
         let comment = line.trim_start();
         if comment.starts_with("///") && comment.contains("<details>") {
-            inside = true;
+            in_details = true;
         }
-        if !inside {
-            kept.push_str(line);
-            kept.push('\n');
+        if !in_details {
+            output.push_str(line);
+            output.push('\n');
         }
         if comment.starts_with("///") && comment.contains("</details>") {
-            inside = false;
+            in_details = false;
         }
     }
-    kept
+    output
 }
