--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -44,9 +44,9 @@
     cluster.label_all_nodes().await;
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 1,
         "count": 6, "selector": {"match_labels": {"given": "hollowbarrow"}}}});
-    cluster.change("a0", "group", &group).await;
+    cluster.submit_change("a0", "group", &group).await;
     ensure!(cluster.wait_serving("a0", "drafts", 6).await, "not all replicas of the group serve");
-    let ingress = cluster.callers("a0");
+    let ingress = cluster.caller_address("a0");
     let pid = cluster.pid("a0").context("a0 runs")?;
     let sizes: &'static [usize] = &[8, 40, 160, 400];
     let mut memory = Vec::new();
@@ -139,12 +139,12 @@
         json!({"put_group": {"name": "spread", "model": "m", "version": round.to_string(),
             "size": 1, "count": 0, "selector": {}}})
     };
-    cluster.change("a0", "first", &group(0)).await;
+    cluster.submit_change("a0", "first", &group(0)).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let (mut medians, mut maxima) = (Vec::new(), Vec::new());
     for round in 1..=RUNS_PER_SIZE {
         let started = Instant::now();
-        let reply = cluster.change("b0", &format!("round {round}"), &group(round)).await;
+        let reply = cluster.submit_change("b0", &format!("round {round}"), &group(round)).await;
         ensure!(reply.status == 200, "a change was refused: {}", reply.body);
         let mut times = wait_in_force(&cluster, round, started).await?;
         times.sort_by(f64::total_cmp);
@@ -187,7 +187,7 @@
             "{pending:?} did not apply the change within 60 s"
         );
         for id in pending.clone() {
-            let groups = cluster.read(&id, "/groups").await;
+            let groups = cluster.read_operator_api(&id, "/groups").await;
             if groups[0]["spec"]["version"] == version.as_str() {
                 times.push(started.elapsed().as_secs_f64() * 1000.0);
                 pending.remove(&id);
--- a/crates/measure/src/doors.rs
+++ b/crates/measure/src/doors.rs
@@ -92,11 +92,11 @@
     let mut token_gaps = DurationHistogram::new();
     let mut complete = 0;
     for reply in &replies {
-        complete += usize::from(reply.whole && reply.body.len() == TOKENS * TOKEN.len());
-        if let Some(time) = reply.first {
+        complete += usize::from(reply.complete && reply.body.len() == TOKENS * TOKEN.len());
+        if let Some(time) = reply.first_byte {
             first_token.record(time);
         }
-        for pair in reply.pieces.windows(2) {
+        for pair in reply.chunk_times.windows(2) {
             token_gaps.record(pair[1] - pair[0]);
         }
     }
@@ -114,8 +114,8 @@
         "door={kind} first_token_alone_ms={:.1} pieces_alone={} streams={STREAMS} whole={complete} \
          first_token_p95_ms={:.1} token_gap_p95_ms={:.1} cpu_ms_per_stream={:.2} kb_per_stream={:.1} \
          idle_connections={IDLE_CONNECTIONS} idle_threads={} kb_per_idle={:.1}",
-        single.first.unwrap_or_default().as_secs_f64() * 1000.0,
-        single.pieces.len(),
+        single.first_byte.unwrap_or_default().as_secs_f64() * 1000.0,
+        single.chunk_times.len(),
         first_token.quantile_ms(0.95),
         token_gaps.quantile_ms(0.95),
         (cpu_after - cpu_before) * 1000.0 / STREAMS as f64,
--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -138,7 +138,8 @@
 /// Requests short completions through all daemons until aborted, so that the run history shows
 /// replicas that serve although they must not.
 fn spawn_load(cluster: &Cluster, desired: &DesiredReplicas) -> tokio::task::JoinHandle<()> {
-    let ingresses: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let ingresses: Vec<SocketAddr> =
+        cluster.ids().iter().map(|id| cluster.caller_address(id)).collect();
     let models: Vec<String> = desired.keys().cloned().collect();
     tokio::spawn(async move {
         for number in 0_usize.. {
@@ -170,7 +171,7 @@
     cluster.wait_ready().await;
     cluster.label_all_nodes().await;
     for (number, group) in policy.groups().iter().enumerate() {
-        let reply = cluster.change("b1", &format!("group {number}"), group).await;
+        let reply = cluster.submit_change("b1", &format!("group {number}"), group).await;
         ensure!(reply.status == 200, "a group was refused: {}", reply.body);
     }
     for group in policy.groups() {
@@ -206,7 +207,7 @@
 }
 
 async fn read_status(cluster: &Cluster, id: &str, field: &str) -> Result<String> {
-    let status = cluster.read(id, "/status").await;
+    let status = cluster.read_operator_api(id, "/status").await;
     let value = status[field].as_str().map(str::to_owned);
     value.with_context(|| format!("the status of {id} has no {field}"))
 }
@@ -262,40 +263,40 @@
             sample(cluster, desired, second * 5, sampled).await;
             cluster.resume(&leader);
         }
-        "leader_cut_silently" => cluster.set_daemon_links(&leader, FaultMode::Silence),
+        "leader_cut_silently" => cluster.set_daemon_links(&leader, FaultMode::Blackhole),
         "zone_cut" => {
-            cluster.set_zone_links(&partitioned_zone, FaultMode::Silence);
+            cluster.set_zone_links(&partitioned_zone, FaultMode::Blackhole);
             sample(cluster, desired, second * 6, sampled).await;
             cluster.set_zone_links(&partitioned_zone, FaultMode::Pass);
         }
         "zone_cut_one_way" => {
             for from in cluster.ids_in(&partitioned_zone) {
                 for to in cluster.ids().iter().filter(|id| !id.starts_with('c')) {
-                    cluster.set_link(&from, to, FaultMode::Silence);
+                    cluster.set_link(&from, to, FaultMode::Blackhole);
                 }
             }
         }
         "links_delayed" => cluster.set_all_links(FaultMode::Delay(Duration::from_millis(60))),
-        "links_damaged" => cluster.set_all_links(FaultMode::Damage),
+        "links_damaged" => cluster.set_all_links(FaultMode::Corrupt),
         "disk_full" => {
             for number in 0..150 {
                 let command = json!({"change_labels": {"node": *members[0],
                     "set": {"round": number.to_string()}}});
-                let reply = cluster.change("b1", &format!("fill {number}"), &command).await;
+                let reply = cluster.submit_change("b1", &format!("fill {number}"), &command).await;
                 ensure!(
                     reply.status == 200,
                     "a change was refused while the disk of one voter was full"
                 );
             }
-            let fault = cluster.read("a0", "/status").await["fault"].clone();
+            let fault = cluster.read_operator_api("a0", "/status").await["fault"].clone();
             ensure!(fault.is_string(), "the voter with the full disk reports no fault: {fault}");
         }
         "leader_cut_and_member_killed" => {
-            cluster.set_daemon_links(&leader, FaultMode::Silence);
+            cluster.set_daemon_links(&leader, FaultMode::Blackhole);
             cluster.fleet().kill(&members[0]);
         }
         _ => {
-            cluster.set_zone_links(&partitioned_zone, FaultMode::Silence);
+            cluster.set_zone_links(&partitioned_zone, FaultMode::Blackhole);
             let zone_members = serving_members(cluster, desired, "c").await?;
             cluster.fleet().kill(&zone_members[0]);
         }
--- a/crates/measure/src/load.rs
+++ b/crates/measure/src/load.rs
@@ -197,7 +197,7 @@
         let target = targets[(first + attempt as usize * 4) % targets.len()];
         let reply = call.send(target).await;
         // The framing shows the caller that an answer was truncated, so the caller retries.
-        let done = reply.status == 200 && reply.whole;
+        let done = reply.status == 200 && reply.complete;
         replies.push(reply);
         if done {
             break;
@@ -217,7 +217,7 @@
 ) {
     let Some(last) = replies.last() else { return };
     outcome.retries += replies.len() as u64 - 1;
-    if last.status == 200 && last.whole {
+    if last.status == 200 && last.complete {
         classify_answer(kind, key, shared, last, outcome);
     } else {
         match last.ran().as_str() {
@@ -261,10 +261,10 @@
                 return;
             }
             outcome.tokens += u64::from(STREAM_TOKENS);
-            if let Some(first) = reply.first {
+            if let Some(first) = reply.first_byte {
                 outcome.first_token.record(first);
             }
-            for pair in reply.pieces.windows(2) {
+            for pair in reply.chunk_times.windows(2) {
                 outcome.token_gap.record(pair[1] - pair[0]);
             }
             tokens == expected
--- a/crates/measure/src/requests.rs
+++ b/crates/measure/src/requests.rs
@@ -79,7 +79,7 @@
     let group = json!({"put_group": {"name": "drafts", "model": "m", "version": "1", "size": 3,
         "count": count, "urgency": "urgent",
         "selector": {"match_labels": {"given": "hollowbarrow"}}}});
-    let reply = cluster.change("b1", "group", &group).await;
+    let reply = cluster.submit_change("b1", "group", &group).await;
     ensure!(reply.status == 200, "the group was refused: {}", reply.body);
     for id in cluster.ids() {
         ensure!(
@@ -98,7 +98,8 @@
     let mut cluster = start_cluster(6, slow_engine(), max_streams).await?;
     let double_rate = saturated || case == "load_doubled";
     let rate = if double_rate { RATE * 2.0 } else { RATE };
-    let ingresses: Vec<SocketAddr> = cluster.ids().iter().map(|id| cluster.callers(id)).collect();
+    let ingresses: Vec<SocketAddr> =
+        cluster.ids().iter().map(|id| cluster.caller_address(id)).collect();
     let baseline_targets = find_baseline_targets(&cluster).await?;
     let plan = LoadPlan { mix, targets: ingresses, rate, time: LOAD_TIME, seed: 7 };
     let load = tokio::spawn(generate_load(plan.clone()));
@@ -110,7 +111,7 @@
     let (run_twice, falsely_not_run) = outcome.check_reservations(cluster.fleet().history());
     let incomplete =
         cluster.fleet().history().to_vec().iter().filter(|run| run.missing_ms > 900).count();
-    let late = cluster.fleet().history().to_vec().iter().filter(|run| run.late).count();
+    let late = cluster.fleet().history().to_vec().iter().filter(|run| run.past_deadline).count();
     // The baseline runs afterwards on the upstreams of the same cluster: killed ones are still
     // down, and for the case of a paused upstream one is paused again.
     let baseline = run_baseline(case, mix, &cluster, baseline_targets).await;
@@ -146,11 +147,11 @@
         "entry_killed" => cluster.kill("b1"),
         "entry_paused" => cluster.pause("b1"),
         "claims_leader_killed" => {
-            let status = cluster.read("b1", "/status").await;
+            let status = cluster.read_operator_api("b1", "/status").await;
             let leader = status["claims_leader"].as_str().unwrap_or("a0").to_owned();
             cluster.kill(&leader);
         }
-        "zone_cut" => cluster.set_zone_links(&ZoneId::from("c"), FaultMode::Silence),
+        "zone_cut" => cluster.set_zone_links(&ZoneId::from("c"), FaultMode::Blackhole),
         "links_slow" => cluster.set_all_links(FaultMode::Delay(Duration::from_millis(40))),
         _ => {}
     }
@@ -238,7 +239,7 @@
 async fn measure_ingress() -> Result<String> {
     let cluster = start_cluster(3, ModelConfig::default(), MANY_STREAMS).await?;
     let direct = find_baseline_targets(&cluster).await?.services[0];
-    let ingress = cluster.callers("a1");
+    let ingress = cluster.caller_address("a1");
     let reads = LoadMix { name: "door_reads", streams: 0, reads: 1000, reservations: 0 };
     let time = Duration::from_secs(6);
     let plan = |targets, rate, seed| LoadPlan { mix: reads, targets, rate, time, seed };
