--- a/crates/fleet/src/engine.rs
+++ b/crates/fleet/src/engine.rs
@@ -30,7 +30,7 @@
     pub memory_tokens: u64,
     /// Models of which its workers can form replicas.
     pub models: Vec<ModelSpec>,
-    /// Time of one decoding step, which generates one token per request, without requests.
+    /// Time of one decoding step without requests. A step generates one token for each request.
     pub step: Duration,
     /// Additional time of a decoding step for each request that generates tokens, in milliseconds.
     pub step_per_request_ms: f64,
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -19,7 +19,8 @@
 /// A model gets replicas over several domains only while its number of replicas times this factor
 /// does not exceed the target count.
 const SCATTER_FACTOR: usize = 3;
-/// Share of a domain's workers that is kept free while the reserve applies.
+/// Share of a domain's workers that the first pass of a plan keeps free. The second pass uses it for
+/// models that are still below their target count.
 const RESERVE_SHARE: f64 = 0.2;
 
 /// Demand for replicas of one model.
--- a/crates/fleet/tests/instances.rs
+++ b/crates/fleet/tests/instances.rs
@@ -1,4 +1,5 @@
-//! Restarts of workers under the same name: the newest instance takes precedence.
+//! Restarts of workers under the same name, checked against a reference: the newest instance takes
+//! precedence.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
