--- a/crates/controller/src/api.rs
+++ b/crates/controller/src/api.rs
@@ -131,7 +131,7 @@
         return reject_record(core, worker, &fault);
     }
     if !known && superseded {
-        // An instance that has terminated and is no longer in the table.
+        // An instance that a later one has superseded and that is no longer in the table.
         return ControlAnswer::Accepted;
     }
     if !known {
--- a/crates/controller/src/certainty.rs
+++ b/crates/controller/src/certainty.rs
@@ -2,7 +2,8 @@
 //!
 //! Invariant: after its start a controller sends no configuration until its log holds everything
 //! that a leader had committed. If no leader is elected, an older configuration is better than none,
-//! so after a timeout the controller sends what it holds, as unconfirmed.
+//! so after a timeout the controller sends the one that it holds. Gateways serve with it; as they get
+//! no leader's view, they know that no one has named the newest version to them.
 
 use std::time::Duration;
 
@@ -22,8 +23,8 @@
     Nothing,
     /// The controller holds everything that was acknowledged until at most `LEADERLESS_TIMEOUT` ago.
     Complete,
-    /// The controller could not confirm for too long that its log is complete. It sends what it
-    /// holds, but later than controllers that could.
+    /// The controller could not confirm for too long that its log is complete. It sends the
+    /// configuration that it holds, but later than controllers that could.
     Unconfirmed,
 }
 
--- a/crates/controller/src/delivery.rs
+++ b/crates/controller/src/delivery.rs
@@ -1,9 +1,9 @@
 //! Decides when this controller sends a configuration to a gateway that lacks it.
 //!
 //! The gateway's primary controller sends it at once, as do the controllers of the gateway's zone if
-//! the primary is in another zone. Other controllers send it only after a delay, so that a
-//! configuration crosses zones only if needed, and duplicates are rare. A controller whose own
-//! configuration may be outdated waits longer than those that are up to date.
+//! the primary is in another zone or the gateway has none. Other controllers send it only after a
+//! delay, so that a configuration crosses zones only if needed, and duplicates are rare. A controller
+//! whose own configuration may be outdated waits longer than those that are up to date.
 //!
 //! Invariant: a gateway that any controller can reach has each configuration within a bounded time
 //! of its commit, however fast further commits follow.
@@ -47,7 +47,8 @@
 /// Role of a controller towards a gateway that lacks a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryRole {
-    /// The gateway's primary controller, or one of its zone if the primary is not in it.
+    /// The gateway's primary controller, or a controller of the gateway's zone if the primary is in
+    /// another zone or the gateway has none.
     Primary,
     /// A controller that other controllers precede.
     Fallback,
@@ -56,7 +57,8 @@
 }
 
 impl DeliveryRole {
-    /// Time for which the gateway must have lacked the configuration first; none for no condition.
+    /// Time for which the gateway must have lacked the configuration first; `None` means that it is
+    /// sent without a delay.
     fn delay(self) -> Option<Duration> {
         match self {
             Self::Primary => None,
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -405,7 +405,7 @@
         lost.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether a gateway has reported a request since this process started.
+    /// Whether a gateway has reported a request, to this controller or to one whose hello says so.
     pub(crate) fn has_served(&self) -> bool {
         self.served
     }
--- a/crates/controller/src/liveness.rs
+++ b/crates/controller/src/liveness.rs
@@ -4,9 +4,9 @@
 //! Silence alone proves nothing: a worker may be partitioned from controllers while it serves
 //! gateways. While a replica's answers make progress, all its members run. A refused connection
 //! proves nothing either, since a partition may refuse it. Only a new instance under the same
-//! address proves that the old one has terminated: it answers the old one's probe under another
-//! name, or continues to register while the old one is silent. One registration is not enough,
-//! since a registration of the old instance may arrive late.
+//! address or name proves that the old one has terminated: it answers a probe of the old one with
+//! its own identity, or continues to register while the old one is silent. One registration is not
+//! enough, since a registration of the old instance may arrive late.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
--- a/crates/controller/src/reconcile.rs
+++ b/crates/controller/src/reconcile.rs
@@ -27,7 +27,7 @@
 
 /// Longest time between two steps.
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Delay before a step after a change, which bounds the rate of steps.
+/// Delay between a change and the step that handles it, so that one step handles several changes.
 const STEP_DELAY: Duration = Duration::from_millis(10);
 /// Time between two views for gateways, unless the set of withheld workers changes.
 const VIEW_INTERVAL: Duration = Duration::from_millis(90);
@@ -46,7 +46,7 @@
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 /// Time for an order to show in the worker's report before it is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1800);
-/// Longest time for the requests of a closing replica to complete before it is dissolved.
+/// Longest time for the requests of a closing replica to complete before it is disbanded.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Longest time after which an order without an answer may still be carried out.
--- a/crates/controller/src/sync.rs
+++ b/crates/controller/src/sync.rs
@@ -20,7 +20,7 @@
 
 /// Time between two hellos to the leader, which needs the gateways' loads.
 const LEADER_INTERVAL: Duration = Duration::from_millis(75);
-/// Every this many hellos go to all controllers, the others to the leader alone.
+/// One of this many hellos goes to all controllers, the others go to the leader only.
 const HELLOS_PER_BROADCAST: u32 = 3;
 
 /// Sends hellos to the other controllers until the process ends.
--- a/crates/controller/tests/certainty.rs
+++ b/crates/controller/tests/certainty.rs
@@ -19,9 +19,9 @@
     facts.certainty(at(now_ms))
 }
 
-/// Guards against sending an outdated configuration after all controllers restart at once: a
-/// controller sent version 368, from a snapshot just installed, to 20 gateways while the leader that
-/// it followed had committed version 401.
+/// Guards against sending an outdated configuration. After all machines had lost power, a controller
+/// sent version 368, from a snapshot just installed, to 20 gateways while the leader that it followed
+/// had committed version 401.
 #[rstest]
 #[case::just_started(300, None, None, ConfigCertainty::Nothing)]
 #[case::behind_leader(300, Some(250), None, ConfigCertainty::Nothing)]
