--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -319,8 +319,8 @@
         })
     }
 
-    /// Returns the slots beyond the desired number: first those that do not serve, then the
-    /// highest.
+    /// Returns the slots beyond the desired number. Slots of replicas that do not serve are chosen
+    /// first, then the highest.
     fn surplus_slots(&self, demand: &GroupDemand) -> BTreeSet<u32> {
         let mut slots: Vec<(bool, u32)> = self
             .replicas
--- a/crates/zone/src/observers.rs
+++ b/crates/zone/src/observers.rs
@@ -7,11 +7,11 @@
 /// Most members of a zone's authority; more would only add messages.
 const MAX_MEMBERS: usize = 5;
 
-/// Returns the members of a zone's authority: daemons of the zone, those set aside for control first,
-/// then voters, then by name. A witness makes an even number odd.
+/// Returns the members of a zone's authority: the first daemons of the zone, ordered by those set
+/// aside for control, then voters, then name. A witness makes an even number odd.
 ///
 /// A zone with an even number of daemons would have no majority after the loss of half of them, so
-/// a voter of another zone joins them as a witness. A zone that is partitioned still has its
+/// a daemon of another zone, a voter if there is one, joins them as a witness. A zone that is partitioned still has its
 /// majority.
 pub fn zone_members(zone: &ZoneId, peers: &[PeerSettings]) -> Vec<DaemonId> {
     let mut local: Vec<&PeerSettings> = peers.iter().filter(|peer| peer.zone == *zone).collect();
