--- a/crates/controller/tests/delivery.rs
+++ b/crates/controller/tests/delivery.rs
@@ -33,7 +33,7 @@
     let mut reported = start;
     let mut lags = Vec::new();
     for step in 1..1000u64 {
-        let now = start + MS * 10 * u32::try_from(step).expect("small");
+        let now = start + MS * 10 * u32::try_from(step).expect("the step number fits in u32");
         if (step * 10).is_multiple_of(pause_ms) {
             commits.record(1 + step, now);
         }
--- a/crates/fleet/tests/instances.rs
+++ b/crates/fleet/tests/instances.rs
@@ -64,7 +64,7 @@
     table.merge(report(&instance(5), 7, 4), now);
     table.remove(&instance(5), now);
     table.merge_direct(report(&instance(6), 1, 4), SILENCE, now);
-    assert!(table.newest_instance("w").expect("known").is_available());
+    assert!(table.newest_instance("w").expect("the worker is known").is_available());
 }
 
 #[rstest]
@@ -107,7 +107,7 @@
     // The other process reports at 2 s and counts as silent after 5 s; the second report after
     // that is accepted.
     assert_eq!(accepted, Some(7));
-    let held = table.newest_instance("w").expect("known");
+    let held = table.newest_instance("w").expect("the worker is known");
     assert_eq!((&held.report.id, held.report.slots, held.seq), (&instance(5), 4, 9));
     assert_eq!(held.report.recount, Some(1));
 }
@@ -150,7 +150,7 @@
         }
     }
     assert_eq!(accepted, Some(5));
-    assert!(table.newest_instance("w").expect("known").is_available());
+    assert!(table.newest_instance("w").expect("the worker is known").is_available());
 }
 
 #[rstest]
@@ -177,7 +177,7 @@
     other.merge(report(&instance(5), 2, 4), now);
     let removal = one.remove(&instance(5), now).expect("the worker was registered");
     assert_eq!(other.merge(removal, now), MergeOutcome::Changed);
-    assert!(!other.newest_instance("w").expect("known").is_available());
+    assert!(!other.newest_instance("w").expect("the worker is known").is_available());
     assert_eq!(one.table_hash(), other.table_hash());
 }
 
--- a/crates/zone/tests/lease.rs
+++ b/crates/zone/tests/lease.rs
@@ -96,7 +96,7 @@
         let at = |ms: u64| started + Duration::from_millis(ms);
         let arrived = stamp_ms + there_ms;
         let sent = arrived + held_ms;
-        let age_ms = u32::try_from(seen_before_ms).expect("small") + 1;
+        let age_ms = u32::try_from(seen_before_ms).expect("the age fits in u32") + 1;
         let reported = at(sent) - Duration::from_millis(seen_before_ms);
         let digest = NodeDigest {
             n: node(0), s: StartId(1), e: Epoch(5), t: NodeState::Ready, a: age_ms, l: 0, o: None,
