--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -4,7 +4,7 @@
 //! but a reserve, and batch requests all but that reserve and a second one. Capacity for urgent
 //! requests therefore remains when long streams occupy the other slots. Within a class, waiting
 //! requests are admitted in order of their virtual finish times: an organisation's virtual time
-//! advances by the inverse of its weight with each of its requests.
+//! advances by the inverse of its weight with each of its requests that wait.
 //!
 //! Invariants: a class's queue never exceeds its bound; a request whose deadline passes while it
 //! waits is refused, never admitted.
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: an upstream at its limit rejects requests and states how long it accepts none.
 //! When such an upstream was only ejected for 0.8 s, like one that has failed twice, it was sent 5
-//! requests within 3 s of a backoff it had asked for, and each of them cost its caller a round
+//! requests during a backoff of 3 s that it had asked for, and each of them cost its caller a round
 //! trip. An upstream that is about to terminate states so in its answers, which also reach a daemon
 //! that is partitioned from every daemon that maintains the upstream list.
 //!
--- a/crates/routing/src/crashes.rs
+++ b/crates/routing/src/crashes.rs
@@ -77,7 +77,8 @@
 const MAX_SENT_QUARANTINES: usize = 64;
 /// Time after its end for which the only run of a request is sent again. A loss of many upstreams
 /// interrupts thousands of requests once, and their records are of no use later: when they were
-/// sent for an hour, 430 of them took 32 KB a second, where a gateway otherwise sends 4 KB.
+/// sent for an hour, 430 of them took 32 KB a second, although a gateway may send only 4 KB a
+/// second of control messages.
 const SINGLE_RUN_RESEND_TIME: Duration = Duration::from_secs(10);
 /// Interval after which a record is sent again, in case the message was lost or its receivers have
 /// departed.
@@ -155,8 +156,8 @@
         (self.chain(), self.runs.len(), self.last_end())
     }
 
-    /// Returns whether the record is due to be sent: at once if it has changed, and at intervals
-    /// otherwise.
+    /// Returns whether the record is due to be sent: at once if it has changed, and otherwise at
+    /// intervals. A record with a single run is sent again only for a limited time.
     fn is_due(&self, now: Instant) -> bool {
         let Some(last_sent) = self.last_sent else { return true };
         let within = |at: Instant, time: Duration| now.saturating_duration_since(at) < time;
--- a/crates/routing/src/limit_coordinator.rs
+++ b/crates/routing/src/limit_coordinator.rs
@@ -21,7 +21,7 @@
 /// Time for which the leader keeps publishing that an upstream no longer states a limit.
 const ENDED_RETENTION: Duration = Duration::from_secs(10);
 /// Interval at which limits are published to all daemons, unless one has changed. Daemons keep a
-/// published limit for three times as long.
+/// published limit for more than three times as long.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Limits of upstreams as reported by all daemons, and the issuer of permits.
@@ -34,7 +34,7 @@
     last_published: Option<Instant>,
 }
 
-/// The effects of a message from a daemon.
+/// Effects of a message from a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AskOutcome {
     /// Upstreams whose limit has changed.
--- a/crates/routing/src/limit_table.rs
+++ b/crates/routing/src/limit_table.rs
@@ -33,7 +33,7 @@
 pub struct LimitNotice {
     /// Requests that the upstream accepts from all daemons together; `None` if it states no limit.
     pub limit: Option<RequestRate>,
-    /// When the notice was written.
+    /// Interval within which the notice was written.
     pub span: NoticeInterval,
 }
 
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -15,8 +15,8 @@
 use crate::limit_table::{LimitNotice, LimitTable, NoticeInterval};
 use crate::permits::{Permit, PermitHolder};
 
-/// Maximum delivery time of a message, by which a notice from another daemon may be older than its
-/// stated age.
+/// Assumed maximum delivery time of a message, by which a notice from another daemon may be older
+/// than its stated age.
 const MAX_DELIVERY_TIME: Duration = Duration::from_millis(200);
 /// Time for which a published notice is kept after the leader stops publishing it. A new leader
 /// learns the limit within this time.
--- a/crates/routing/tests/crash_bursts.rs
+++ b/crates/routing/tests/crash_bursts.rs
@@ -95,11 +95,11 @@
 
     /// Returns the interrupted runs of the suspected request, or of all requests.
     fn truncated_runs(&self, suspect_only: bool) -> Vec<(u64, Run, f64)> {
-        let truncated_at = self.runs.iter().filter_map(|run| {
+        let truncated = self.runs.iter().filter_map(|run| {
             let at = self.truncated_at(run)?;
             (!suspect_only || run.request == SUSPECT).then_some((run.request, *run, at))
         });
-        truncated_at.collect()
+        truncated.collect()
     }
 
     fn last_end(&self) -> f64 {
@@ -124,11 +124,11 @@
 type Strategy = fn(&Scenario, f64) -> bool;
 
 fn distinct(scenario: &Scenario, suspect_only: bool) -> usize {
-    let truncated_at = scenario.truncated_runs(suspect_only);
-    truncated_at.iter().map(|(_, run, _)| run.upstream).collect::<BTreeSet<_>>().len()
+    let truncated = scenario.truncated_runs(suspect_only);
+    truncated.iter().map(|(_, run, _)| run.upstream).collect::<BTreeSet<_>>().len()
 }
 
-/// Three consecutive runs.
+/// Three consecutive runs since the last answer.
 fn by_sequence(scenario: &Scenario, at: f64) -> bool {
     let mut runs = scenario.truncated_runs(true);
     runs.sort_by(|a, b| a.2.total_cmp(&b.2));
@@ -312,9 +312,9 @@
     scenario.add_background(&mut rng);
     let after = rng.random_range(20.0..500.0);
     for request in 0..requests {
-        let copies = rng.random_range(2..=200);
-        let sent_copies = if bounded { GATEWAYS.min(copies) } else { copies };
-        for _ in 0..sent_copies {
+        let duplicates = rng.random_range(2..=200);
+        let runs = if bounded { GATEWAYS.min(duplicates) } else { duplicates };
+        for _ in 0..runs {
             let sent = LEAD_MS + rng.random_range(0.0..20.0);
             scenario.add(&mut rng, SUSPECT + request, sent);
             let run = scenario.runs.last_mut().expect("it was added");
--- a/crates/routing/tests/crashes.rs
+++ b/crates/routing/tests/crashes.rs
@@ -190,9 +190,9 @@
     assert_eq!(ledger.quarantine_left(REQUEST, start + ms(1000)), Some(BASE_QUARANTINE));
 }
 
-/// Guards against a request that crashes upstreams without end: it crashes its upstream after 80 ms
-/// and arrives once a second, at one of eight gateways in turn, each of which sends it to at most
-/// two upstreams. Records take 300 ms in each direction.
+/// Guards against a request that crashes one upstream after the other, without a bound. It crashes
+/// its upstream after 80 ms and arrives once a second, at one of eight gateways in turn, each of
+/// which sends it to at most two upstreams. Records take 300 ms in each direction.
 #[rstest]
 fn quarantine_bounds_crashes() {
     let start = Instant::now();
--- a/crates/routing/tests/decisions.rs
+++ b/crates/routing/tests/decisions.rs
@@ -158,7 +158,7 @@
     let mut picker = RoutePicker::new(&zone, 100);
     let mut random = [0u32; 20];
     for _ in 0..800 {
-        let choice = picker.pick(&candidates, &[], &mut rng).expect("an upstream or slot is free");
+        let choice = picker.pick(&candidates, &[], &mut rng).expect("an upstream has capacity");
         picker.record_start(&choice.key, &[], now);
         random[rand::RngExt::random_range(&mut rng, 0..20)] += 1;
     }
@@ -187,12 +187,12 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let calm = [candidate("holder", 4), candidate("other", 3)];
     for _ in 0..20 {
-        let choice = picker.pick(&calm, &blocks, &mut rng).expect("an upstream or slot is free");
+        let choice = picker.pick(&calm, &blocks, &mut rng).expect("an upstream has capacity");
         assert_eq!((choice.key.name.as_str(), choice.prefix_blocks > 0), ("holder", true));
     }
     let busy = [candidate("holder", 60), candidate("other", 3)];
-    let choices = (0..20)
-        .map(|_| picker.pick(&busy, &blocks, &mut rng).expect("an upstream or slot is free"));
+    let choices =
+        (0..20).map(|_| picker.pick(&busy, &blocks, &mut rng).expect("an upstream has capacity"));
     assert!(choices.filter(|choice| choice.key.name == "other").count() > 5);
 }
 
@@ -292,7 +292,7 @@
     let id = OrganisationId::from("o");
     let zone = ZoneId::from("a");
     let limiter = limiters(5, 1e6, now).remove(0);
-    let _held = limiter.admit(&id, 100.0, now);
+    let _ticket = limiter.admit(&id, 100.0, now);
     let uses = |r| vec![hollowbarrow_schema::OrganisationUse { o: id.clone(), r }];
     limiter.record_demand("d1", &zone, 1, &uses(7.0), now);
     limiter.record_demand("d2", &zone, 1, &uses(9.0), now);
@@ -301,8 +301,8 @@
     assert!((sum[0].r - 57.0).abs() < 0.5, "{sum:?}");
 }
 
-/// Long streams fill the queue; urgent requests are still admitted, and a small organisation is not
-/// starved.
+/// Long streams fill the slots of normal requests; urgent requests are still admitted, and a small
+/// organisation is not starved.
 #[rstest]
 #[tokio::test(start_paused = true)]
 async fn enter_full_queue() {
@@ -311,12 +311,7 @@
     let far = Instant::now() + Duration::from_secs(100);
     let mut tickets = Vec::new();
     for _ in 0..18 {
-        tickets.push(
-            queue
-                .enter(Urgency::Normal, &large, 1, far)
-                .await
-                .expect("an upstream or slot is free"),
-        );
+        tickets.push(queue.enter(Urgency::Normal, &large, 1, far).await.expect("a slot is free"));
     }
     let mut waiting = Vec::new();
     for number in 0..30 {
@@ -327,8 +322,9 @@
         }));
     }
     tokio::task::yield_now().await;
-    let local = queue.clone();
-    let late = tokio::spawn(async move { local.enter(Urgency::Normal, &small, 1, far).await });
+    let queue_of_small = queue.clone();
+    let late =
+        tokio::spawn(async move { queue_of_small.enter(Urgency::Normal, &small, 1, far).await });
     tokio::time::sleep(Duration::from_millis(1)).await;
     let urgent = queue.enter(Urgency::Urgent, &large, 1, far).await;
     assert!(urgent.is_ok(), "an urgent request waits behind streams");
@@ -348,8 +344,7 @@
     let queue = AdmissionQueue::new(QueueLimits { slots: 1, waiting: 1 });
     let id = OrganisationId::from("o");
     let soon = Instant::now() + Duration::from_secs(1);
-    let tickets =
-        queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("an upstream or slot is free");
+    let ticket = queue.enter(Urgency::Urgent, &id, 1, soon).await.expect("a slot is free");
     let passed = queue.enter(Urgency::Urgent, &id, 1, Instant::now()).await;
     assert_eq!(
         passed.err(),
@@ -364,7 +359,7 @@
     let full = queue.enter(Urgency::Urgent, &id, 1, soon).await;
     assert!(matches!(full.err(), Some(ShedRequestError::QueueFull { .. })));
     assert_eq!(waiter.await.expect("the task completes"), Some(ShedRequestError::DeadlinePassed));
-    drop(tickets);
+    drop(ticket);
     assert_eq!((queue.in_flight(), queue.waiting()), (0, 0), "no slot or waiter is leaked");
 }
 
--- a/crates/routing/tests/probes.rs
+++ b/crates/routing/tests/probes.rs
@@ -28,9 +28,13 @@
 fn may_probe_few_at_once(#[case] daemons: u32) {
     let probing = probing(daemons, Duration::ZERO);
     let mean = probing.iter().sum::<usize>() as f64 / probing.len() as f64;
-    assert!((0.4..0.6).contains(&mean), "{mean} try in the mean");
+    assert!((0.4..0.6).contains(&mean), "{mean} daemons may probe on average");
     let many = probing.iter().filter(|count| **count > 3).count();
-    assert!(many * 200 < probing.len(), "more than three try in {many} of {}", probing.len());
+    assert!(
+        many * 200 < probing.len(),
+        "more than three may probe in {many} of {} windows",
+        probing.len()
+    );
 }
 
 /// A rare request is not blocked permanently: after some time every daemon may send a probe
