--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -147,8 +147,8 @@
     }
 }
 
-/// Admits a request. Refuses it if it is quarantined, or if it is a duplicate and the request in
-/// progress does not finish in time.
+/// Admits a request. Refuses it if it is quarantined, or if it is a duplicate that may not be sent
+/// in time because the request in progress neither ends nor shows progress.
 pub(crate) async fn admit_request(
     core: &GatewayCore,
     request: &CallerRequest,
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -7,7 +7,7 @@
 
 /// Fraction of the allowed retries that requests earn; the rest is slack for the window's edges.
 const EARNED_SHARE: f64 = 0.75;
-/// Fraction of the slack that is earned in each window without any traffic.
+/// Fraction of the slack that is earned in each window, whatever the traffic.
 const FLOOR_SHARE: f64 = 0.2;
 /// Smallest number of gateways among which the slack is divided, because more may start.
 const MIN_GATEWAYS: u32 = 12;
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -112,11 +112,12 @@
 
     /// Returns whether the active configuration may lack an acknowledged change.
     pub(crate) fn may_be_behind(&self, now: Instant) -> bool {
-        !self.currency(now).is_current(MAX_CONFIRMATION_AGE) || self.was_suspended_since_view()
+        !self.config_freshness(now).is_current(MAX_CONFIRMATION_AGE)
+            || self.was_suspended_since_view()
     }
 
-    /// Returns what is known about the currency of the active configuration.
-    pub(crate) fn currency(&self, now: Instant) -> ConfigFreshness {
+    /// Returns what this gateway knows about the age of its active configuration.
+    pub(crate) fn config_freshness(&self, now: Instant) -> ConfigFreshness {
         let last_view = *self.last_view.lock().expect("no holder of the lock panics");
         ConfigFreshness {
             version: self.version(),
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -26,8 +26,8 @@
 /// observations. The leader receives them meanwhile, and knows whether the request was answered
 /// elsewhere.
 const LOCAL_VERDICT_TIME: Duration = Duration::from_secs(2);
-/// Time without a view after which a gateway uses only its own observations: an election, and the
-/// first views after it.
+/// Time without a view after which a gateway also quarantines requests by its own observations,
+/// whatever their age: an election, and the first views after it.
 const LEADER_SILENCE: Duration = Duration::from_millis(1500);
 
 /// Time for the leader to receive that a quarantined request was answered here, and to send its
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -111,7 +111,7 @@
 /// Returns the refusal for a request whose route or key is not in the active configuration.
 fn refuse_unmatched(core: &GatewayCore, id: &str, refusal: Refusal) -> Refusal {
     let now = Instant::now();
-    let facts = core.currency(now);
+    let facts = core.config_freshness(now);
     log::info!(
         "event=route_unknown request={id:?} cause={} version={} known={} view_ms={}",
         refusal.name(),
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -21,7 +21,7 @@
 /// Time for the primary controller to deliver a configuration before the other controllers are
 /// asked: five times the longest delivery in 49 changes (45 ms from commit to activation).
 const DELIVERY_TIMEOUT: Duration = Duration::from_millis(250);
-/// Time without a report after which a worker is removed from the table.
+/// Time without a report after which a worker that has not departed is removed from the table.
 const WORKER_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 
 /// Sends hellos to controllers until the process ends.
@@ -71,7 +71,8 @@
     }
 }
 
-/// Sends this gateway's need for permits to their issuer, until the process ends.
+/// Sends this gateway's needs for permits, the permits that it returns and the limits that it has
+/// learnt to the issuer of permits, until the process ends.
 pub(crate) async fn ask_for_permits(core: Arc<GatewayCore>, links: Arc<MemberLinks>) {
     loop {
         // A waiting request is reported at once, everything else at the interval.
--- a/crates/gateway/src/picker.rs
+++ b/crates/gateway/src/picker.rs
@@ -210,7 +210,8 @@
         self.table.is_empty()
     }
 
-    /// Removes departed workers, and workers without a report for longer than `silence`.
+    /// Removes workers without a report for longer than `silence`, and departed workers after their
+    /// own retention time.
     pub fn prune(&mut self, silence: Duration, now: Instant) {
         self.table.expire(silence, now);
         let table = &self.table;
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -77,7 +77,7 @@
             }
             Err(AttemptError::NoWorker(refusal)) => refusal,
         };
-        // A worker's error answer tells the caller more than the refusal of a later attempt.
+        // A worker's error answer is more specific than the refusal of a later attempt.
         if let Some(answer) = error_answer {
             core.metrics.count_request("answered");
             return answer.into_http();
--- a/crates/gateway/tests/picker.rs
+++ b/crates/gateway/tests/picker.rs
@@ -233,7 +233,7 @@
     let kept = HashSet::from(["127.0.0.1:9001".parse().expect("an address")]);
     let facts = PickFacts { kept: &kept, ..facts(&service, &model) };
     for _ in 0..20 {
-        let picked = picker.pick(&facts, Instant::now()).expect("both have room");
+        let picked = picker.pick(&facts, Instant::now()).expect("both have free slots");
         assert_eq!(picked.id == WorkerId::from("b0"), expected);
     }
 }
@@ -254,7 +254,7 @@
         let mut picker = WorkerPicker::new(&ZoneId::from("a")).with_preferences(&local);
         picker.merge(reports.clone(), Instant::now());
         picker.apply_view(&reported, Instant::now());
-        let picked = pick(&mut picker, &service()).expect("all have room");
+        let picked = pick(&mut picker, &service()).expect("all have free slots");
         *counts.entry(picked).or_default() += 1;
     }
     assert_eq!(counts.len(), 8, "{counts:?}");
