--- a/crates/schema/src/generated.rs
+++ b/crates/schema/src/generated.rs
@@ -3269,7 +3269,7 @@
     ///Timeout for requests in flight when a replica or the daemon stops.
     #[serde(default = "defaults::default_u64::<u64, 120000>")]
     pub drain_ms: u64,
-    ///Margin for clocks that run at different speeds, in thousandths of each lease.
+    ///Margin for clocks that run at different speeds, in thousandths of the lease of a zone's authority.
     #[serde(default = "defaults::default_u64::<u64, 50>")]
     pub drift_permille: u64,
     ///Time without a message from the leader after which a voter starts an election; multiplied by a random factor between 1 and 2.
