--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -132,9 +132,9 @@
 
 impl Drop for PickerGuard<'_> {
     fn drop(&mut self) {
-        let first_byte_at =
+        let first_byte_ms =
             self.first_byte_at.get().map(|at| (*at - self.started).as_secs_f64() * 1000.0);
-        self.core.picker().record_end(self.key, first_byte_at, Instant::now());
+        self.core.picker().record_end(self.key, first_byte_ms, Instant::now());
     }
 }
 
--- a/crates/daemon/src/caller_request.rs
+++ b/crates/daemon/src/caller_request.rs
@@ -27,7 +27,7 @@
     pub const DEADLINE: &str = "x-hollowbarrow-deadline-ms";
     /// Key that identifies the request across retries.
     pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-    /// `true` where the request must run at most once.
+    /// `true` if the request must run at most once.
     pub const NOT_REPEATABLE: &str = "x-hollowbarrow-not-repeatable";
     /// Id of the request in logs and traces.
     pub const REQUEST_ID: &str = "x-request-id";
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -45,11 +45,11 @@
     loop {
         let slot = tokio::select! {
             slot = Arc::clone(&slots).acquire_owned() => slot,
-            () = stop_requested(&mut stop) => return,
+            () = wait_for_stop(&mut stop) => return,
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = stop_requested(&mut stop) => return,
+            () = wait_for_stop(&mut stop) => return,
         };
         let Ok((stream, _)) = accepted else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -65,7 +65,7 @@
     }
 }
 
-async fn stop_requested(stop: &mut watch::Receiver<bool>) {
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     // An error means that the sender was dropped with the daemon, which also requires a stop.
     let _ = stop.wait_for(|stop| *stop).await;
 }
@@ -89,7 +89,7 @@
     tokio::pin!(connection);
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = stop_requested(&mut stop) => {
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -111,13 +111,13 @@
     ///
     /// After a quarantine has expired, only some daemons at a time may send probe requests.
     pub(crate) fn quarantine_left(&self, request: RequestDigest, now: Instant) -> Option<Duration> {
-        let over = match self.crashes().quarantine_state(request, now)? {
+        let expired_for = match self.crashes().quarantine_state(request, now)? {
             QuarantineState::Active(left) => return Some(left),
-            QuarantineState::Expired(over) => over,
+            QuarantineState::Expired(expired_for) => expired_for,
         };
-        let local = xxh3_64(self.id().as_bytes());
+        let daemon = xxh3_64(self.id().as_bytes());
         let window = now.saturating_duration_since(self.started).as_secs();
-        probe_delay(local, request, window, self.daemons(), over)
+        probe_delay(daemon, request, window, self.daemons(), expired_for)
     }
 
     /// Returns whether the local configuration contains all changes that must be in force.
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -136,8 +136,8 @@
 
 /// Listens for callers with a backlog long enough for bursts.
 ///
-/// The standard library's backlog is 128. Of 400 callers that connect at once, the rest would wait
-/// a second until they retry the connection.
+/// With the standard library's backlog of 128, those of 400 simultaneous callers that exceed it
+/// would wait a second until they retry the connection.
 fn listen_with_backlog(address: &str) -> std::io::Result<TcpListener> {
     let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidInput);
     let address: SocketAddr = address.parse().map_err(|_| invalid())?;
--- a/crates/daemon/src/digest.rs
+++ b/crates/daemon/src/digest.rs
@@ -1,12 +1,13 @@
 //! Exchanges summaries of the observed state with other daemons.
 //!
-//! The number of receivers of a daemon does not depend on the size of the fleet.
-//! Every daemon sends to the members of its local zone's authority. For each zone
-//! of its region a daemon has two reporters among that zone's members, chosen by
-//! a hash: it sends them keepalives, and they report which of their zone's
-//! replicas serve and the zone's demand for each organisation. Single nodes are
-//! reported to the local zone's members only, and a zone's capacity to the
-//! leader of the configuration log only.
+//! The number of daemons that a daemon sends to does not depend on the size of
+//! the fleet. Every daemon sends to the members of its local zone's authority.
+//! For each zone of its region a daemon has two reporters among that zone's
+//! members, chosen by a hash: they report which of their zone's replicas serve
+//! and the zone's demand for each organisation. The daemon does not know which
+//! members of another zone are silent, so it sends keepalives to all of them.
+//! Single nodes are reported to the local zone's members only, and a zone's
+//! capacity to the leader of the configuration log only.
 //!
 //! Echoes make the ages in a summary safe: the receiver counts them from the time
 //! at which it sent the message that the summary echoes, which is before the
--- a/crates/daemon/src/telemetry.rs
+++ b/crates/daemon/src/telemetry.rs
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Starts the root span of a request, as a child of the caller's span if it sent one.
+    /// Starts the daemon's first span of a request, as a child of the caller's span if it sent one.
     pub(crate) fn start_ingress_span(&self, request: &Request<Incoming>, id: &str) -> HopSpan {
         let parent = request
             .headers()
--- a/crates/daemon/src/zone_authority.rs
+++ b/crates/daemon/src/zone_authority.rs
@@ -1,7 +1,7 @@
 //! The authorities of availability zones that this daemon is a member of.
 //!
-//! All access goes through [`with_authority`], which sends the outgoing messages
-//! after each action, so no caller can omit that.
+//! Actions that produce messages go through [`with_authority`], which sends the
+//! outgoing messages after each action, so no caller can omit that.
 
 use hollowbarrow_schema::{AuthorityMessage, DaemonId, PeerMessage, ZoneId};
 use tokio::time::Instant;
--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -258,7 +258,8 @@
         drained
     }
 
-    /// Returns the new replicas that fit the limit of concurrent loads, most urgent first.
+    /// Returns the new replicas that fit the limit of concurrent loads from the weights store, most
+    /// urgent first.
     fn limit_loads(&self, plan: &ZonePlan, table: &ZoneTable) -> Vec<NewReplica> {
         let loading = table.allocations.iter().filter(|a| a.starts.is_empty()).count();
         let free_loads = (self.core.settings.limits.loads as usize).saturating_sub(loading);
@@ -270,9 +271,9 @@
         let strays = self.list_strays(table, now);
         let reserved: BTreeSet<&NodeId> = forms.iter().flat_map(|form| &form.members).collect();
         let fresh = strays.iter().filter(|(node, epoch)| {
-            let last_orders =
+            let already_ordered =
                 self.last_orders.get(node).is_some_and(|(sent_epoch, _)| sent_epoch > epoch);
-            !last_orders && !reserved.contains(node) && *epoch >= table.high_epoch
+            !already_ordered && !reserved.contains(node) && *epoch >= table.high_epoch
         });
         // A higher epoch is needed only if a stray node holds the highest one.
         u64::from(fresh.count() > 0)
--- a/crates/log/src/lib.rs
+++ b/crates/log/src/lib.rs
@@ -1,7 +1,7 @@
 //! The replicated durable log: elections, quorum commit, snapshots and storage.
 //!
 //! All consensus between daemons is in this crate. The accepted configuration
-//! and the claims of not repeatable requests are two separate logs.
+//! and the claims of non-repeatable requests are two separate logs.
 //! [`LogReplica`] implements the protocol and does no input or output except
 //! through its [`LogStorage`]; [`LogDriver`] runs a replica on its own thread.
 //!
--- a/crates/peer/src/queue.rs
+++ b/crates/peer/src/queue.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 enum QueuedItem {
     Message(EncodedMessage),
-    /// The message that is in the `newest` slot when this item is queued.
+    /// The message that is in the `newest` slot when this item is taken from the queue.
     Newest,
 }
 
--- a/crates/state/src/claims.rs
+++ b/crates/state/src/claims.rs
@@ -1,6 +1,6 @@
-//! Claims: the right of not repeatable requests to run.
+//! Claims: the right of non-repeatable requests to run.
 //!
-//! A daemon opens a claim before it sends the first byte of a not repeatable
+//! A daemon opens a claim before it sends the first byte of a non-repeatable
 //! request. Only the first claim of a key is granted. A request that is sent
 //! again, through any daemon, therefore gets the answer of the first one, or
 //! the information that the first one is in progress or may have run.
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,7 +1,7 @@
 //! Replicated state of the daemons, as state machines over the replicated log.
 //!
 //! [`ConfigState`] is the accepted configuration; [`ClaimState`] records which
-//! not repeatable requests were granted the right to run; [`DeploymentState`]
+//! non-repeatable requests were granted the right to run; [`DeploymentState`]
 //! holds the full configuration with the highest version. All are
 //! deterministic: they depend only on log entries, never on a clock or a random
 //! number.
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -19,8 +19,8 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Minimum time between two lines that report dropped lines.
 const DROPPED_INTERVAL: Duration = Duration::from_secs(1);
-/// Events of ordinary lines, which are those of successful operations; all other events have a
-/// higher priority.
+/// Events of ordinary lines, which are those of successful operations; all other events at level
+/// info or above have a higher priority.
 const ORDINARY_EVENTS: [&str; 2] = ["event=request_end ", "event=worker_probed "];
 
 /// Fields of lines of requests that may have run but were not answered.
