--- a/crates/daemon/src/zone_control.rs
+++ b/crates/daemon/src/zone_control.rs
@@ -4,10 +4,11 @@
 //! nodes, changes the table through the zone's members, and sends orders for the
 //! settled table. A controller that is not the authority does nothing.
 //!
-//! Invariants: an order is sent only for an allocation in the settled table, with
-//! that allocation's epoch, and only if its timeout ends before the authority's
-//! lease; a replica that can still serve is drained before its nodes are assigned
-//! to another.
+//! Invariants: a load or drain order is sent only for an allocation in the settled
+//! table, with that allocation's epoch; a release order only to a node in no
+//! allocation, with the table's highest epoch. An order is sent only if its
+//! timeout ends before the authority's lease. A replica that can still serve is
+//! drained before its nodes are assigned to another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
