--- a/src/commands/table.rs
+++ b/src/commands/table.rs
@@ -3,7 +3,7 @@
 use comfy_table::{Table, presets};
 use serde_json::Value;
 
-/// Prints rows of JSON objects as a table of the fields in `columns`, or completely as JSON.
+/// Prints rows of JSON objects as a table of the fields in `columns`, or with all fields as JSON.
 pub(crate) fn print_rows(rows: &Value, columns: &[(&str, &str)], json: bool) {
     if json {
         print_json(rows);
--- a/tests/all/groups.rs
+++ b/tests/all/groups.rs
@@ -119,7 +119,7 @@
     cluster.fleet().set_listed_state(&NodeId::from(members[0].as_str()), PlatformState::Leaving);
     let reply = streaming.await.expect("the stream's task ends");
     let (tokens, done) = reply.tokens();
-    assert!(done && tokens.len() == 400, "{} tokens came, done {done}", tokens.len());
+    assert!(done && tokens.len() == 400, "{} of 400 tokens received, done {done}", tokens.len());
     let mut moved = false;
     for _ in 0..200 {
         let replicas = cluster.serving_replicas("a0", "drafts").await;
--- a/tests/platform/backoff.rs
+++ b/tests/platform/backoff.rs
@@ -1,7 +1,7 @@
 //! Workers that ask for a backoff in an answer.
 //!
 //! Guards against gateways that ignore the backoff. Heads of replicas at their limit rejected
-//! requests and asked each gateway for three seconds without any. Gateways treated this like any
+//! requests and asked each gateway for a backoff of 3 s. Gateways treated this like any
 //! other failure, ejected the worker after the second one for 0.8 s, and selected it again while
 //! other workers had capacity: one gateway logged `event=worker_left_out` for the same worker 0.54
 //! s and 1.31 s after the answer, and sent it five requests in the three seconds. In a run with
@@ -67,8 +67,9 @@
     let other = Worker::start(&deployment.fleet, "p1", "bookings", false);
     let plain = [Arc::clone(&deployment.plain), other];
     plain.iter().for_each(|worker| worker.set_service_time(SERVICE_TIME));
-    // The warm-up uses the gateway under test: until a gateway has seen an answer, it sends only
-    // the first of several duplicates.
+    // All requests of a kind have the same content, so they are duplicates. Until a gateway has
+    // received part of an answer to one of them, it sends one at a time and the others wait. The
+    // warm-up therefore uses the gateway under test.
     for kind in [Kind::Plain, Kind::Replica] {
         deployment.system.call_gateway_until_served(GATEWAY, kind.path(), "warm").await;
     }
@@ -242,7 +243,7 @@
         assert_eq!(answer.status().as_u16(), 503, "{}", system.logs());
         assert!(
             before.elapsed() < IN_FLIGHT_TIME,
-            "the gateway answers without delay: {}",
+            "the gateway must answer without delay: {}",
             system.logs()
         );
         let pause = answer.headers().get("retry-after").and_then(|value| value.to_str().ok());
--- a/tests/platform/restarted_worker.rs
+++ b/tests/platform/restarted_worker.rs
@@ -98,7 +98,9 @@
     let used = fixture.all_used("again", within).await;
     println!("all instances had a request {:?} after the restart", start.elapsed());
     assert!(used, "some instances get no requests: {}", fixture.system.logs());
-    // An instance may be used before its first heartbeat. By its third heartbeat it is registered.
+    // An instance may be used before its first heartbeat is accepted. `heartbeats_sent` includes the
+    // heartbeat in progress, and heartbeats are sent one after the other. At a count of 3, the calls
+    // of the first two have ended, so that a controller has logged the restart.
     while instances.iter().any(|instance| instance.heartbeats_sent() < 3) {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
@@ -149,7 +151,8 @@
         engines.iter().position(is_candidate).expect("a replica with a matching member is open");
     let epoch = engines[index].epoch().expect("the engine is a member of a replica");
     engines[index] = engines[index].restart_after(after, false).await;
-    // By its second heartbeat, the restart has been published to every gateway.
+    // At a count of 3, the calls of the first two heartbeats have ended. By the second one, the
+    // restart has been published to every gateway.
     while engines[index].heartbeats_sent() < 3 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/tests/platform/worker.rs
+++ b/tests/platform/worker.rs
@@ -209,7 +209,7 @@
         Self::start_instance(&self.fleet, &self.id, kind, start_ms, address)
     }
 
-    /// Returns the number of heartbeats that this instance has sent.
+    /// Returns the number of heartbeats that this instance has sent, including the one in progress.
     pub fn heartbeats_sent(&self) -> u64 {
         self.seq.load(Ordering::Relaxed)
     }
