--- a/crates/testkit/src/fleet.rs
+++ b/crates/testkit/src/fleet.rs
@@ -161,8 +161,8 @@
                 let nodes = nodes
                     .iter()
                     .map(|(id, node)| match address_overrides.get(&(zone.clone(), id.clone())) {
-                        Some(detour) => {
-                            PlatformNode { address: detour.to_string(), ..node.listed.clone() }
+                        Some(address) => {
+                            PlatformNode { address: address.to_string(), ..node.listed.clone() }
                         }
                         None => node.listed.clone(),
                     })
--- a/tests/platform/disturbance.rs
+++ b/tests/platform/disturbance.rs
@@ -91,23 +91,23 @@
     DisturbanceKind::ForeignRecords,
     DisturbanceKind::CrashingRequest,
 ];
-/// Value that is combined with the seed of a run to seed that series.
+/// Value that is combined with the seed of a run by XOR, so that this series gets its own seed.
 const INSTANCE_SEED: u64 = 0x11fe;
-/// Kinds of the series with notices of workers, and the value that seeds them.
+/// Kinds of the series with notices of workers, and the value that is combined with the run's seed.
 const NOTICE_KINDS: [DisturbanceKind; 2] =
     [DisturbanceKind::RejectRequests, DisturbanceKind::LeaveUnreported];
 const NOTICE_SEED: u64 = 0xdead;
 
-/// Kinds of the series with request limits, and the value that seeds them.
+/// Kinds of the series with request limits, and the value that is combined with the run's seed.
 const LIMIT_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::SetLimit];
 const LIMIT_SEED: u64 = 0x1131;
 
-/// Kinds of a separate series, since a burst leaves few workers for a while, and the value that
-/// seeds it.
+/// Kinds of a separate series, since a burst leaves few workers for a while, and the value that is
+/// combined with the run's seed.
 const BURST_KINDS: [DisturbanceKind; 1] = [DisturbanceKind::CrashingBurst];
 const BURST_SEED: u64 = 0xb0057;
 
-/// Value that seeds the power loss, and the bounds of its start time.
+/// Value that is combined with the run's seed for the power loss, and the bounds of its start time.
 const POWER_LOSS_SEED: u64 = 0x90e5;
 const POWER_LOSS_AT_MS: (u64, u64) = (2_000, 7_000);
 /// Bounds of the duration of the power loss.
--- a/tests/platform/stale_gateway.rs
+++ b/tests/platform/stale_gateway.rs
@@ -121,7 +121,7 @@
         *self.view_version.lock().expect("not poisoned") = Some(version);
     }
 
-    /// Sends no more views.
+    /// Stops sending views.
     fn stop_views(&self) {
         *self.view_version.lock().expect("not poisoned") = None;
     }
@@ -172,7 +172,7 @@
     for number in 1.. {
         tokio::time::sleep(POLL_INTERVAL).await;
         let Some(deployment) = *view_version.lock().expect("not poisoned") else { continue };
-        let set_view_version = FleetView {
+        let view = FleetView {
             term: Term(1),
             number,
             deployment,
@@ -184,7 +184,7 @@
             leader: None,
             limits: Vec::new(),
         };
-        primary.links.send(&gateway, FleetMessage::View(set_view_version));
+        primary.links.send(&gateway, FleetMessage::View(view));
     }
 }
 
