--- a/crates/measure/src/capacity.rs
+++ b/crates/measure/src/capacity.rs
@@ -297,12 +297,14 @@
 /// Returns the growth of this process's resident memory while it fills a state, in MB.
 fn resident_growth(state_kind: &str, size: usize) -> Result<f64> {
     let pid = std::process::id();
-    let (_, before) = process_usage(pid).context("the usage of this process can be read")?;
+    let (_, before) =
+        process_usage(pid).context("cannot read the CPU time and memory of this process")?;
     let (state, claims) = match state_kind {
         "state" => (Some(filled_state(size)), None),
         _ => (None, Some(filled_claims(size))),
     };
-    let (_, after) = process_usage(pid).context("the usage of this process can be read")?;
+    let (_, after) =
+        process_usage(pid).context("cannot read the CPU time and memory of this process")?;
     drop((state, claims));
     Ok(after.saturating_sub(before) as f64 / 1e6)
 }
--- a/crates/measure/src/capacity_clusters.rs
+++ b/crates/measure/src/capacity_clusters.rs
@@ -23,7 +23,7 @@
 const DAEMON_TOKENS: f64 = 13_659.0;
 
 async fn small_cluster(zones: &[(ZoneId, u32)], fleet: FleetConfig) -> Result<Cluster> {
-    let program = std::env::current_exe().context("the path of this program is known")?;
+    let program = std::env::current_exe().context("cannot get the path of this program")?;
     let timing = json!({"probe_ms": 500, "digest_ms": 500, "lease_ms": 2500, "election_ms": 1000,
         "authority_ms": 2000, "balancer_ms": 0});
     let config = ClusterConfig::new(&program, &["daemon"], zones, fleet)
@@ -47,7 +47,7 @@
     cluster.submit_change("a0", "group", &group).await;
     ensure!(cluster.wait_serving("a0", "drafts", 6).await, "not all replicas of the group serve");
     let ingress = cluster.caller_address("a0");
-    let pid = cluster.pid("a0").context("a0 runs")?;
+    let pid = cluster.pid("a0").context("a0 does not run")?;
     let sizes: &'static [usize] = &[8, 40, 160, 400];
     let mut memory = Vec::new();
     let mut cpu = Vec::new();
@@ -59,9 +59,11 @@
             let rate = *size as f64 / 1.1;
             let time = Duration::from_millis(2500);
             let plan = LoadPlan { mix, targets: vec![ingress], rate, time, seed };
-            let (before, _) = process_usage(pid).context("the usage of a0 can be read")?;
+            let (before, _) =
+                process_usage(pid).context("cannot read the CPU time and memory of a0")?;
             let outcome = generate_load(plan).await;
-            let (after, resident) = process_usage(pid).context("the usage of a0 can be read")?;
+            let (after, resident) =
+                process_usage(pid).context("cannot read the CPU time and memory of a0")?;
             ensure!(outcome.lost + outcome.unknown == 0, "streams failed during the measurement");
             memory_runs.push(resident as f64 / 1e6);
             cpu.push((outcome.tokens as f64, (after - before) * 1000.0));
@@ -154,14 +156,16 @@
     let idle_time = Duration::from_secs(4);
     // At the target size, most daemons are not members of their zone's authority. The last daemon
     // of the cluster represents these.
-    let measured_daemon = cluster.ids().last().cloned().context("there are daemons")?;
+    let measured_daemon = cluster.ids().last().cloned().context("the cluster has no daemons")?;
     let (mut cpu, mut bytes, mut memory) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..RUNS_PER_SIZE {
-        let pid = cluster.pid(&measured_daemon).context("the daemon runs")?;
+        let pid = cluster.pid(&measured_daemon).context("the daemon does not run")?;
         let traffic_before = peer_bytes(&cluster, &measured_daemon).await;
-        let (cpu_before, _) = process_usage(pid).context("the daemon's usage can be read")?;
+        let (cpu_before, _) =
+            process_usage(pid).context("cannot read the CPU time and memory of the daemon")?;
         tokio::time::sleep(idle_time).await;
-        let (cpu_after, resident) = process_usage(pid).context("the daemon's usage can be read")?;
+        let (cpu_after, resident) =
+            process_usage(pid).context("cannot read the CPU time and memory of the daemon")?;
         let traffic_after = peer_bytes(&cluster, &measured_daemon).await;
         cpu.push((cpu_after - cpu_before) * 100.0 / idle_time.as_secs_f64());
         bytes.push((traffic_after - traffic_before) / idle_time.as_secs_f64());
--- a/crates/measure/src/doors.rs
+++ b/crates/measure/src/doors.rs
@@ -58,7 +58,8 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let mut line = String::new();
-        let output = child.stdout.take().context("the standard output of the server is piped")?;
+        let output =
+            child.stdout.take().context("the standard output of the server is not piped")?;
         BufReader::new(output).read_line(&mut line)?;
         Ok(Self { child, address: line.trim().parse()? })
     }
@@ -85,9 +86,11 @@
 async fn measure(kind: &str, server: &ServerProcess) -> Result<String> {
     let pid = server.child.id();
     let single = stream(server.address).await;
-    let (cpu_before, memory_before) = process_usage(pid).context("the server runs")?;
+    let (cpu_before, memory_before) =
+        process_usage(pid).context("cannot read the CPU time and memory of the server")?;
     let replies = join_all((0..STREAMS).map(|_| stream(server.address)).collect()).await;
-    let (cpu_after, memory_after) = process_usage(pid).context("the server runs")?;
+    let (cpu_after, memory_after) =
+        process_usage(pid).context("cannot read the CPU time and memory of the server")?;
     let mut first_token = DurationHistogram::new();
     let mut token_gaps = DurationHistogram::new();
     let mut complete = 0;
@@ -101,14 +104,16 @@
         }
     }
     let threads_before = server.threads();
-    let (_, idle_before) = process_usage(pid).context("the server runs")?;
+    let (_, idle_before) =
+        process_usage(pid).context("cannot read the CPU time and memory of the server")?;
     let mut idle = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         idle.push(tokio::net::TcpStream::connect(server.address).await?);
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     let idle_threads = server.threads();
-    let (_, idle_after) = process_usage(pid).context("the server runs")?;
+    let (_, idle_after) =
+        process_usage(pid).context("cannot read the CPU time and memory of the server")?;
     drop(idle);
     Ok(format!(
         "door={kind} first_token_alone_ms={:.1} pieces_alone={} streams={STREAMS} whole={complete} \
@@ -215,7 +220,9 @@
 fn serve_tiny_http() -> Result<()> {
     let server =
         tiny_http::Server::http("127.0.0.1:0").map_err(|error| anyhow::anyhow!("{error}"))?;
-    print_address(server.server_addr().to_ip().context("the server listens on an IP address")?);
+    print_address(
+        server.server_addr().to_ip().context("the server does not listen on an IP address")?,
+    );
     loop {
         let request = server.recv()?;
         std::thread::spawn(move || write_paced(request));
--- a/crates/measure/src/groups.rs
+++ b/crates/measure/src/groups.rs
@@ -159,7 +159,7 @@
     let zones = ["a", "b", "c"].map(ZoneId::from);
     let fleet = FleetConfig::new(&zones, 2, 4).with_unfenced_nodes(true);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
-    let program = std::env::current_exe().context("the path of this program is known")?;
+    let program = std::env::current_exe().context("cannot get the path of this program")?;
     let arguments: &[&str] =
         if policy == UserPolicy::Baseline { &["daemon", "--rebuild-all"] } else { &["daemon"] };
     let mut config = ClusterConfig::new(&program, arguments, &counts, fleet);
--- a/crates/measure/src/requests.rs
+++ b/crates/measure/src/requests.rs
@@ -70,7 +70,7 @@
     let zones = ["a", "b", "c"].map(ZoneId::from);
     let fleet = FleetConfig::new(&zones, 2, 4).with_model(model);
     let counts: Vec<(ZoneId, u32)> = zones.iter().map(|zone| (zone.clone(), 3)).collect();
-    let program = std::env::current_exe().context("the path of this program is known")?;
+    let program = std::env::current_exe().context("cannot get the path of this program")?;
     let config = ClusterConfig::new(&program, &["daemon"], &counts, fleet)
         .with_limits(json!({"streams": max_streams}));
     let cluster = Cluster::start(config);
@@ -245,10 +245,10 @@
     let plan = |targets, rate, seed| LoadPlan { mix: reads, targets, rate, time, seed };
     let direct_outcome = generate_load(plan(vec![direct], 100.0, 1)).await;
     let ingress_outcome = generate_load(plan(vec![ingress], 100.0, 2)).await;
-    let pid = cluster.pid("a1").context("a1 runs")?;
-    let (before, _) = process_usage(pid).context("the usage of a1 can be read")?;
+    let pid = cluster.pid("a1").context("a1 does not run")?;
+    let (before, _) = process_usage(pid).context("cannot read the CPU time and memory of a1")?;
     let heavy = generate_load(plan(vec![ingress], 2000.0, 3)).await;
-    let (between, _) = process_usage(pid).context("the usage of a1 can be read")?;
+    let (between, _) = process_usage(pid).context("cannot read the CPU time and memory of a1")?;
     let streams = LoadMix { name: "door_streams", streams: 1000, reads: 0, reservations: 0 };
     let streamed = generate_load(LoadPlan {
         mix: streams,
@@ -258,7 +258,8 @@
         seed: 4,
     })
     .await;
-    let (after, memory) = process_usage(pid).context("the usage of a1 can be read")?;
+    let (after, memory) =
+        process_usage(pid).context("cannot read the CPU time and memory of a1")?;
     let (direct_ms, ingress_ms) = (
         direct_outcome.unary_latency.quantile_ms(0.5),
         ingress_outcome.unary_latency.quantile_ms(0.5),
