--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -88,7 +88,8 @@
         "timing": {"probe_ms": 100, "digest_ms": 100, "lease_ms": 600, "election_ms": 150,
             "authority_ms": 400, "platform_ms": 300, "balancer_ms": 0, "drain_ms": 5000},
     });
-    read_settings("the demo's settings", &text.to_string()).context("cannot read the demo's settings")
+    read_settings("the demo's settings", &text.to_string())
+        .context("cannot read the demo's settings")
 }
 
 struct DemoRun {
